--- a/crates/spurpier-core/src/control/message.rs
+++ b/crates/spurpier-core/src/control/message.rs
@@ -22,5 +22,5 @@
     /// About members.
     Membership(MembershipMessage),
     /// About the document.
-    Spread(SpreadMessage),
+    Distribution(SpreadMessage),
 }
--- a/crates/spurpier-core/src/control/mod.rs
+++ b/crates/spurpier-core/src/control/mod.rs
@@ -9,4 +9,4 @@
 mod node;
 
 pub use message::{GossipBody, GossipMessage};
-pub use node::{ControlAction, ControlEvent, ControlNode, ControlTuning};
+pub use node::{ControlAction, ControlConfig, ControlEvent, ControlNode};
--- a/crates/spurpier-core/src/control/node.rs
+++ b/crates/spurpier-core/src/control/node.rs
@@ -12,7 +12,7 @@
 use crate::homes::{rendezvous_score, subject_digest};
 use crate::membership::{
     Destination, ListedMachine, MemberChange, MemberIdentity, Membership, MembershipAction,
-    MembershipEvent, MembershipTuning, NodeKey, Transport,
+    MembershipConfig, MembershipEvent, NodeKey, Transport,
 };
 use crate::spread::{
     DocumentStore, FetchedChanges, ReadFailure, Spread, SpreadAction, SpreadEvent, SpreadMessage,
@@ -22,27 +22,27 @@
 
 /// The rates and bounds of all control protocols.
 #[derive(Debug, Clone)]
-pub struct ControlTuning {
+pub struct ControlConfig {
     /// Of the membership.
-    pub membership: Arc<MembershipTuning>,
+    pub membership: Arc<MembershipConfig>,
     /// Of the spread of documents.
-    pub spread: Arc<SpreadTuning>,
+    pub distribution: Arc<SpreadTuning>,
     /// The least time between two reads of the machine list by one watcher.
     pub machine_list_interval: Duration,
     /// The time between two such reads for each member, where that is longer.
     pub machine_list_interval_per_member: Duration,
     /// The longest time before a node that has not joined reads the machine list.
-    pub machine_list_first: Duration,
+    pub first_machine_list_max_delay: Duration,
 }
 
-impl Default for ControlTuning {
+impl Default for ControlConfig {
     fn default() -> Self {
-        ControlTuning {
+        ControlConfig {
             membership: Arc::default(),
-            spread: Arc::default(),
+            distribution: Arc::default(),
             machine_list_interval: Duration::from_secs(10),
             machine_list_interval_per_member: Duration::from_millis(200),
-            machine_list_first: Duration::from_secs(2),
+            first_machine_list_max_delay: Duration::from_secs(2),
         }
     }
 }
@@ -108,7 +108,7 @@
 #[derive(Debug, Clone)]
 pub struct ControlNode<S> {
     membership: Membership,
-    spread: Spread<S>,
+    distribution: Spread<S>,
     machine_list: MachineListSchedule,
     random: SmallRng,
     watching: bool,
@@ -128,7 +128,7 @@
         incarnation: u64,
         seeds: Vec<SocketAddr>,
         store: S,
-        tuning: &ControlTuning,
+        config: &ControlConfig,
         seed: u64,
     ) -> Self {
         let mut random = SmallRng::seed_from_u64(seed);
@@ -137,24 +137,24 @@
             identity,
             incarnation,
             seeds,
-            tuning.membership.clone(),
+            config.membership.clone(),
             random.random(),
         );
-        let spread = Spread::new(store, tuning.spread.clone(), random.random());
+        let distribution = Spread::new(store, config.distribution.clone(), random.random());
         let machine_list = MachineListSchedule::new(
             now,
-            tuning.machine_list_first,
-            tuning.machine_list_interval,
-            tuning.machine_list_interval_per_member,
+            config.first_machine_list_max_delay,
+            config.machine_list_interval,
+            config.machine_list_interval_per_member,
             &mut random,
         );
         let mut node = ControlNode {
             membership,
-            spread,
+            distribution,
             machine_list,
             random,
             watching: false,
-            watchers_per_zone: tuning.spread.watchers_per_zone,
+            watchers_per_zone: config.distribution.watchers_per_zone,
             zone_digest,
             actions: Vec::new(),
         };
@@ -178,9 +178,11 @@
             ControlEvent::Tick => self.tick(now),
             ControlEvent::Received { from, message } => self.received(now, from, message),
             ControlEvent::MachineListRead(answer) => self.machine_list_read(now, answer),
-            ControlEvent::HeadRead(answer) => self.drive_spread(now, SpreadEvent::HeadRead(answer)),
+            ControlEvent::HeadRead(answer) => {
+                self.drive_distribution(now, SpreadEvent::HeadRead(answer))
+            }
             ControlEvent::ChangesFetched(answer) => {
-                self.drive_spread(now, SpreadEvent::ChangesFetched(answer));
+                self.drive_distribution(now, SpreadEvent::ChangesFetched(answer));
             }
             ControlEvent::Leave => self.drive_membership(now, MembershipEvent::Leave),
             ControlEvent::Stop => self.drive_membership(now, MembershipEvent::Stop),
@@ -191,9 +193,9 @@
     /// When [`ControlEvent::Tick`] is due at the latest.
     pub fn next_deadline(&self) -> Timestamp {
         let membership = self.membership.next_deadline();
-        let spread = self.spread.next_deadline();
+        let distribution = self.distribution.next_deadline();
         let list = self.machine_list.next_deadline();
-        membership.min(spread).min(list.unwrap_or(membership))
+        membership.min(distribution).min(list.unwrap_or(membership))
     }
 
     /// The view of the members.
@@ -202,8 +204,8 @@
     }
 
     /// The document and its version.
-    pub fn spread(&self) -> &Spread<S> {
-        &self.spread
+    pub fn distribution(&self) -> &Spread<S> {
+        &self.distribution
     }
 
     /// Whether this node reads the platform for its zone.
@@ -213,12 +215,12 @@
 
     /// The bytes of control state that this node holds.
     pub fn memory_bytes(&self) -> usize {
-        size_of::<Self>() + self.membership.memory_bytes() + self.spread.memory_bytes()
+        size_of::<Self>() + self.membership.memory_bytes() + self.distribution.memory_bytes()
     }
 
     fn tick(&mut self, now: Timestamp) {
         self.drive_membership(now, MembershipEvent::Tick);
-        self.drive_spread(now, SpreadEvent::Tick);
+        self.drive_distribution(now, SpreadEvent::Tick);
         self.read_machine_list(now);
     }
 
@@ -262,8 +264,8 @@
                 };
                 self.drive_membership(now, event);
             }
-            GossipBody::Spread(message) => {
-                self.drive_spread(now, SpreadEvent::Received { sender, message });
+            GossipBody::Distribution(message) => {
+                self.drive_distribution(now, SpreadEvent::Received { sender, message });
             }
         }
         let unreachable = self.membership.member(sender).is_some_and(|member| {
@@ -272,9 +274,9 @@
                 .members()
                 .is_zone_reachable(&member.identity.zone)
         });
-        if version > self.spread.version() && !unreachable {
+        if version > self.distribution.version() && !unreachable {
             let peer = sender;
-            self.drive_spread(now, SpreadEvent::PeerVersion { peer, version });
+            self.drive_distribution(now, SpreadEvent::PeerVersion { peer, version });
         }
     }
 
@@ -285,7 +287,7 @@
                 MembershipAction::Send { to, message } => {
                     self.send(to, GossipBody::Membership(message));
                 }
-                MembershipAction::Changed(change) => {
+                MembershipAction::MemberChanged(change) => {
                     changed |= self.concerns_watchers(&change);
                     self.actions.push(ControlAction::MemberChanged(change));
                 }
@@ -299,14 +301,14 @@
         }
     }
 
-    fn drive_spread(&mut self, now: Timestamp, event: SpreadEvent) {
-        for action in self.spread.handle(now, event) {
+    fn drive_distribution(&mut self, now: Timestamp, event: SpreadEvent) {
+        for action in self.distribution.handle(now, event) {
             match action {
                 SpreadAction::Send {
                     to,
                     message,
                     transport,
-                } => self.send_spread(to, message, transport),
+                } => self.send_distribution(to, message, transport),
                 SpreadAction::Push {
                     own_zone,
                     other_zones,
@@ -315,7 +317,7 @@
                 } => {
                     for peer in self.membership.random_peers(own_zone, other_zones) {
                         let to = destination(&peer, transport);
-                        self.send(to, GossipBody::Spread(message.clone()));
+                        self.send(to, GossipBody::Distribution(message.clone()));
                     }
                 }
                 SpreadAction::ReadHead => self.actions.push(ControlAction::ReadHead),
@@ -330,18 +332,18 @@
         }
     }
 
-    fn send_spread(&mut self, to: NodeKey, message: SpreadMessage, transport: Transport) {
+    fn send_distribution(&mut self, to: NodeKey, message: SpreadMessage, transport: Transport) {
         let Some(member) = self.membership.member(to) else {
             return;
         };
         let to = destination(&member.identity, transport);
-        self.send(to, GossipBody::Spread(message));
+        self.send(to, GossipBody::Distribution(message));
     }
 
     fn send(&mut self, to: Destination, body: GossipBody) {
         let message = GossipMessage {
             sender: self.membership.key(),
-            version: self.spread.version(),
+            version: self.distribution.version(),
             body,
         };
         self.actions.push(ControlAction::Send { to, message });
@@ -380,7 +382,7 @@
             .count();
         self.watching = !leaving && better < self.watchers_per_zone;
         let event = SpreadEvent::Watching(self.watching);
-        self.drive_spread(now, event);
+        self.drive_distribution(now, event);
     }
 }
 
--- a/crates/spurpier-core/src/membership/detection.rs
+++ b/crates/spurpier-core/src/membership/detection.rs
@@ -6,7 +6,7 @@
 use rand::rngs::SmallRng;
 
 use super::identity::NodeKey;
-use super::settings::MembershipTuning;
+use super::settings::MembershipConfig;
 use super::table::{MemberTable, Slot};
 use super::zones::ZoneDistance;
 use crate::time::Timestamp;
@@ -74,19 +74,19 @@
 }
 
 /// The time between two probes at this distance.
-pub(super) fn interval(tuning: &MembershipTuning, distance: ZoneDistance) -> Duration {
+pub(super) fn interval(config: &MembershipConfig, distance: ZoneDistance) -> Duration {
     match distance {
-        ZoneDistance::OwnZone => tuning.own_zone_interval,
-        ZoneDistance::OwnRegion => tuning.own_region_interval,
-        ZoneDistance::OtherRegion => tuning.other_region_interval,
+        ZoneDistance::OwnZone => config.own_zone_probe_interval,
+        ZoneDistance::OwnRegion => config.own_region_probe_interval,
+        ZoneDistance::OtherRegion => config.other_region_probe_interval,
     }
 }
 
 impl Detection {
     /// No probes yet; the first of each distance leaves at a random moment of its interval.
-    pub(super) fn new(tuning: &MembershipTuning, random: &mut SmallRng) -> Self {
+    pub(super) fn new(config: &MembershipConfig, random: &mut SmallRng) -> Self {
         let next_probe = ZoneDistance::ALL.map(|distance| {
-            let micros = interval(tuning, distance).as_micros() as u64;
+            let micros = interval(config, distance).as_micros() as u64;
             Timestamp::from_micros(random.random_range(0..=micros))
         });
         Detection {
@@ -101,11 +101,11 @@
     }
 
     /// Drops every observation that a pause of this node has made worthless.
-    pub(super) fn restart(&mut self, now: Timestamp, tuning: &MembershipTuning) {
+    pub(super) fn restart(&mut self, now: Timestamp, config: &MembershipConfig) {
         self.health = WORST_HEALTH;
         self.pending.clear();
         self.unproven.clear();
-        let deadline = now + tuning.suspicion * (WORST_HEALTH + 1);
+        let deadline = now + config.suspicion_timeout * (WORST_HEALTH + 1);
         for suspicion in &mut self.suspicions {
             suspicion.deadline = deadline;
         }
@@ -115,7 +115,7 @@
     pub(super) fn next_deadline(
         &self,
         table: &MemberTable,
-        tuning: &MembershipTuning,
+        config: &MembershipConfig,
     ) -> Timestamp {
         let probes = ZoneDistance::ALL
             .iter()
@@ -123,8 +123,8 @@
             .map(|distance| self.next_probe[distance.index()]);
         let pending = self.pending.iter().map(|probe| {
             let wait = match probe.indirect_sent || probe.asked_by.is_some() {
-                true => tuning.probe_timeout,
-                false => tuning.direct_timeout,
+                true => config.probe_timeout,
+                false => config.direct_probe_timeout,
             };
             probe.sent_at + self.patient(wait)
         });
--- a/crates/spurpier-core/src/membership/event.rs
+++ b/crates/spurpier-core/src/membership/event.rs
@@ -115,7 +115,7 @@
         message: MembershipMessage,
     },
     /// The view has changed.
-    Changed(MemberChange),
+    MemberChanged(MemberChange),
     /// This node began to suspect a member after its own probes failed.
     SuspicionRaised(NodeKey),
 }
--- a/crates/spurpier-core/src/membership/joining.rs
+++ b/crates/spurpier-core/src/membership/joining.rs
@@ -105,7 +105,7 @@
         let address = self.join.seeds[chosen];
         let wait = self.jittered(self.join.wait);
         self.join.next_try = now + wait;
-        self.join.wait = (self.join.wait * 2).min(self.tuning.join_retry_max);
+        self.join.wait = (self.join.wait * 2).min(self.config.join_retry_max);
         self.send_join(address);
     }
 
--- a/crates/spurpier-core/src/membership/listing.rs
+++ b/crates/spurpier-core/src/membership/listing.rs
@@ -66,7 +66,7 @@
             .map(|member| (member.key, first_lacked(&known, member.key).unwrap_or(now)))
             .collect();
         for (key, lacked_since) in &unlisted {
-            if now.since(*lacked_since) >= self.tuning.unlisted_for {
+            if now.since(*lacked_since) >= self.config.unlisted_min_absence {
                 self.declare_dead(now, *key);
             }
         }
@@ -77,7 +77,7 @@
     fn is_silent(&self, now: Timestamp, member: &Member) -> bool {
         let zone = self.table.zone_of(member);
         let zone_silent =
-            !self.table.is_reachable(zone) && zone.is_silent(now, self.tuning.unlisted_after);
+            !self.table.is_reachable(zone) && zone.is_silent(now, self.config.unlisted_min_silence);
         member.state().status.is_suspect() || zone_silent
     }
 
--- a/crates/spurpier-core/src/membership/machine.rs
+++ b/crates/spurpier-core/src/membership/machine.rs
@@ -14,7 +14,7 @@
 use super::identity::{MemberIdentity, NodeKey};
 use super::joining::JoinProgress;
 use super::message::{MemberUpdate, MembershipMessage};
-use super::settings::MembershipTuning;
+use super::settings::MembershipConfig;
 use super::status::{MemberState, MemberStatus};
 use super::sync::SyncProgress;
 use super::table::{MemberTable, MemberView};
@@ -30,7 +30,7 @@
     pub(super) identity: Arc<MemberIdentity>,
     pub(super) key: NodeKey,
     pub(super) state: MemberState,
-    pub(super) tuning: Arc<MembershipTuning>,
+    pub(super) config: Arc<MembershipConfig>,
     pub(super) random: SmallRng,
     pub(super) table: MemberTable,
     pub(super) detection: Detection,
@@ -49,13 +49,13 @@
         identity: Arc<MemberIdentity>,
         incarnation: u64,
         seeds: Vec<SocketAddr>,
-        tuning: Arc<MembershipTuning>,
+        config: Arc<MembershipConfig>,
         seed: u64,
     ) -> Self {
         let table = MemberTable::new(
             identity.zone.clone(),
             identity.region.clone(),
-            tuning.unreachable_after,
+            config.zone_unreachable_failures,
         );
         let own_address = identity.addresses.gossip;
         let seeds: Vec<SocketAddr> = seeds
@@ -63,17 +63,17 @@
             .filter(|address| *address != own_address)
             .collect();
         let mut random = SmallRng::seed_from_u64(seed);
-        let detection = Detection::new(&tuning, &mut random);
+        let detection = Detection::new(&config, &mut random);
         Membership {
             key: identity.key(),
             state: MemberState::alive(incarnation),
             table,
             detection,
             queue: DisseminationQueue::default(),
-            join: JoinProgress::new(seeds, tuning.join_retry),
+            join: JoinProgress::new(seeds, config.join_retry_initial),
             sync: SyncProgress::default(),
             identity,
-            tuning,
+            config,
             random,
             actions: Vec::new(),
             last_event: None,
@@ -111,7 +111,7 @@
 
     /// When [`MembershipEvent::Tick`] is due at the latest.
     pub fn next_deadline(&self) -> Timestamp {
-        let detection = self.detection.next_deadline(&self.table, &self.tuning);
+        let detection = self.detection.next_deadline(&self.table, &self.config);
         match self.join.next_deadline() {
             Some(join) => detection.min(join),
             None => detection,
@@ -272,9 +272,9 @@
     fn notice_freeze(&mut self, now: Timestamp) {
         let paused = self
             .last_event
-            .is_some_and(|last| now.since(last) >= self.tuning.frozen_after);
+            .is_some_and(|last| now.since(last) >= self.config.freeze_threshold);
         if paused && !self.table.is_empty() {
-            self.detection.restart(now, &self.tuning);
+            self.detection.restart(now, &self.config);
             self.sync.hurry(now);
         }
         self.last_event = Some(now);
--- a/crates/spurpier-core/src/membership/merge.rs
+++ b/crates/spurpier-core/src/membership/merge.rs
@@ -62,7 +62,7 @@
             return true;
         }
         if update.state.status.is_gone() {
-            let forget_at = now + self.tuning.departed_memory;
+            let forget_at = now + self.config.departed_retention;
             self.table
                 .remember_departed(update.key, update.state, forget_at);
             return true;
@@ -77,7 +77,7 @@
         }
         self.queue.push(update.clone());
         let change = MemberChange::Joined(identity.clone());
-        self.actions.push(MembershipAction::Changed(change));
+        self.actions.push(MembershipAction::MemberChanged(change));
         true
     }
 
@@ -105,7 +105,7 @@
             let slot = self.table.insert(identity.clone(), state);
             self.add_to_rotation(slot);
             let change = MemberChange::Joined(identity.clone());
-            self.actions.push(MembershipAction::Changed(change));
+            self.actions.push(MembershipAction::MemberChanged(change));
         } else {
             self.table.set_state(key, state);
             let change = MemberChange::StateChanged {
@@ -113,7 +113,7 @@
                 before,
                 after: state,
             };
-            self.actions.push(MembershipAction::Changed(change));
+            self.actions.push(MembershipAction::MemberChanged(change));
         }
         if state.status.is_suspect() {
             self.start_suspicion(now, key, state);
@@ -130,14 +130,14 @@
         let Some(member) = self.table.remove(key) else {
             return;
         };
-        let forget_at = now + self.tuning.departed_memory;
+        let forget_at = now + self.config.departed_retention;
         self.table.forget_departed(now);
         self.table.remember_departed(key, state, forget_at);
         let change = MemberChange::Gone {
             identity: member.identity,
             status: state.status,
         };
-        self.actions.push(MembershipAction::Changed(change));
+        self.actions.push(MembershipAction::MemberChanged(change));
     }
 
     /// Refutes a suspicion or a death of this living node with a higher incarnation.
@@ -155,8 +155,8 @@
     /// Statements to put into a message for this peer: first what it must know of itself.
     pub(super) fn updates_for(&mut self, peer: NodeKey) -> Vec<MemberUpdate> {
         let doubt = self.doubt_about(peer);
-        let send_limit = self.tuning.retransmit_factor * self.doublings() as usize;
-        let mut updates = self.queue.take(self.tuning.update_bytes, send_limit);
+        let send_limit = self.config.retransmit_factor * self.doublings() as usize;
+        let mut updates = self.queue.take(self.config.max_update_bytes, send_limit);
         if let Some(doubt) = doubt {
             updates.retain(|update| update.key != peer);
             updates.push(doubt);
--- a/crates/spurpier-core/src/membership/message.rs
+++ b/crates/spurpier-core/src/membership/message.rs
@@ -98,14 +98,14 @@
     /// Asks for the identities of these nodes; a node asked for its own key announces itself.
     IdentityRequest(List<NodeKey>),
     /// The sender's digest of each part of the view; asks for the parts that differ.
-    PartDigests(List<u64>),
+    BucketDigests(List<u64>),
     /// The sender's states in some parts of the view.
-    PartStates {
+    BucketStates {
         /// The parts.
-        parts: List<u8>,
+        buckets: List<u8>,
         /// All members that the sender knows in them.
         states: List<MemberUpdate>,
         /// Whether the receiver is asked for its own states of the same parts.
-        answer: bool,
+        reply_requested: bool,
     },
 }
--- a/crates/spurpier-core/src/membership/mod.rs
+++ b/crates/spurpier-core/src/membership/mod.rs
@@ -29,6 +29,6 @@
 pub use identity::{MemberAddresses, MemberIdentity, NodeKey};
 pub use machine::Membership;
 pub use message::{MemberUpdate, MembershipMessage};
-pub use settings::MembershipTuning;
+pub use settings::MembershipConfig;
 pub use status::{MemberState, MemberStatus};
 pub use table::{MemberTable, MemberView};
--- a/crates/spurpier-core/src/membership/probing.rs
+++ b/crates/spurpier-core/src/membership/probing.rs
@@ -36,7 +36,7 @@
             if !due || !has_members(&self.table, distance) {
                 continue;
             }
-            let wait = interval(&self.tuning, distance);
+            let wait = interval(&self.config, distance);
             self.detection.next_probe[distance.index()] = now + self.jittered(wait);
             if let Some(target) = self.next_target(distance) {
                 self.probe(now, &target, None);
@@ -83,8 +83,8 @@
 
     /// Asks others where a direct probe is late, and gives up on probes that took too long.
     pub(super) fn expire_probes(&mut self, now: Timestamp) {
-        let direct = self.detection.patient(self.tuning.direct_timeout);
-        let total = self.detection.patient(self.tuning.probe_timeout);
+        let direct = self.detection.patient(self.config.direct_probe_timeout);
+        let total = self.detection.patient(self.config.probe_timeout);
         let mut pending = std::mem::take(&mut self.detection.pending);
         let mut late = Vec::new();
         let mut failed = Vec::new();
@@ -119,7 +119,7 @@
         };
         zone.failed();
         let watched =
-            zone.distance == ZoneDistance::OwnZone || zone.members < self.tuning.small_zone;
+            zone.distance == ZoneDistance::OwnZone || zone.members < self.config.small_zone_size;
         if watched {
             self.detection.unproven.push(UnprovenFailure {
                 target: probe.target,
@@ -133,7 +133,7 @@
         let Some(zone) = self.table.find(target).map(|member| member.zone) else {
             return;
         };
-        let near = self.tuning.indirect_probes.saturating_sub(1);
+        let near = self.config.indirect_probe_count.saturating_sub(1);
         let mut helpers = Vec::new();
         self.pick_members(near, &mut helpers, |_, member| {
             member.zone == zone && member.key != target
--- a/crates/spurpier-core/src/membership/receive.rs
+++ b/crates/spurpier-core/src/membership/receive.rs
@@ -52,14 +52,14 @@
             MembershipMessage::Join(update) => self.admit(now, update),
             MembershipMessage::FullView(updates) => self.view_received(now, &updates.0),
             MembershipMessage::IdentityRequest(keys) => self.give_identities(sender, from, &keys.0),
-            MembershipMessage::PartDigests(digests) => {
+            MembershipMessage::BucketDigests(digests) => {
                 self.give_differing_parts(sender, &digests.0)
             }
-            MembershipMessage::PartStates {
-                parts,
+            MembershipMessage::BucketStates {
+                buckets,
                 states,
-                answer,
-            } => self.parts_received(now, sender, &parts.0, &states.0, answer),
+                reply_requested,
+            } => self.parts_received(now, sender, &buckets.0, &states.0, reply_requested),
         }
     }
 
--- a/crates/spurpier-core/src/membership/status.rs
+++ b/crates/spurpier-core/src/membership/status.rs
@@ -37,7 +37,7 @@
     }
 
     /// The same statement with a suspicion added.
-    pub fn suspected(self) -> MemberStatus {
+    pub fn with_suspicion(self) -> MemberStatus {
         match self {
             MemberStatus::Alive => MemberStatus::Suspect,
             MemberStatus::Leaving => MemberStatus::SuspectLeaving,
@@ -46,7 +46,7 @@
     }
 
     /// The same statement with the suspicion taken off.
-    pub fn unsuspected(self) -> MemberStatus {
+    pub fn without_suspicion(self) -> MemberStatus {
         match self {
             MemberStatus::Suspect => MemberStatus::Alive,
             MemberStatus::SuspectLeaving => MemberStatus::Leaving,
--- a/crates/spurpier-core/src/membership/suspicion.rs
+++ b/crates/spurpier-core/src/membership/suspicion.rs
@@ -57,7 +57,7 @@
         if state.status.is_suspect() {
             return;
         }
-        let suspected = state.with_status(state.status.suspected());
+        let suspected = state.with_status(state.status.with_suspicion());
         self.actions.push(MembershipAction::SuspicionRaised(target));
         self.apply_state(now, target, suspected, None);
     }
@@ -70,7 +70,8 @@
 
     /// How long a suspected node of the own zone has to refute in a cluster of this size.
     fn suspicion_time(&self) -> Duration {
-        self.tuning.suspicion + self.tuning.suspicion_per_doubling * self.doublings()
+        self.config.suspicion_timeout
+            + self.config.suspicion_timeout_per_doubling * self.doublings()
     }
 
     /// Starts the time in which a suspected member may refute.
@@ -78,7 +79,7 @@
         let own_zone = self.table.find(key).is_some_and(|member| member.zone == 0);
         let factor = match own_zone {
             true => 1,
-            false => self.tuning.other_zone_suspicion_factor,
+            false => self.config.other_zone_suspicion_factor,
         };
         let wait = self.detection.patient(self.suspicion_time() * factor);
         self.detection
@@ -138,8 +139,11 @@
     /// Whether the silence of a member may be that of its whole zone.
     fn is_zone_in_doubt(&self, member: &Member, suspected_for: Duration) -> bool {
         let zone = self.table.zone_of(member);
-        let stormy = zone.is_stormy(self.tuning.storm_percent, self.tuning.storm_members);
-        let held_for_storm = stormy && suspected_for < self.tuning.storm_hold;
+        let stormy = zone.is_stormy(
+            self.config.mass_suspicion_percent,
+            self.config.mass_suspicion_min_members,
+        );
+        let held_for_storm = stormy && suspected_for < self.config.mass_suspicion_max_hold;
         held_for_storm || !self.table.is_reachable(zone)
     }
 }
--- a/crates/spurpier-core/src/membership/sync.rs
+++ b/crates/spurpier-core/src/membership/sync.rs
@@ -57,7 +57,7 @@
             return;
         }
         let quick = self.sync.quick > 0;
-        let recently_equal = !quick && now.since(zone.last_equal) < self.tuning.sync_interval;
+        let recently_equal = !quick && now.since(zone.last_equal) < self.config.sync_interval;
         if recently_equal || now < self.sync.next {
             return;
         }
@@ -68,12 +68,12 @@
         self.sync.quick = self.sync.quick.saturating_sub(1);
         let wait = match quick {
             true => QUICK_SYNC_INTERVAL,
-            false => self.tuning.sync_interval,
+            false => self.config.sync_interval,
         };
         let jitter = self.random.random_range(0..=wait.as_micros() as u64);
         self.sync.next = now + wait + Duration::from_micros(jitter);
         let digests = (0..PARTS).map(|part| self.part_digest(part)).collect();
-        self.send(to, MembershipMessage::PartDigests(List(digests)));
+        self.send(to, MembershipMessage::BucketDigests(List(digests)));
     }
 
     fn part_digest(&self, part: usize) -> u64 {
@@ -88,30 +88,30 @@
         if digests.len() != PARTS {
             return;
         }
-        let mut parts: Vec<u8> = (0..PARTS)
+        let mut buckets: Vec<u8> = (0..PARTS)
             .filter(|part| digests[*part] != self.part_digest(*part))
             .map(|part| part as u8)
             .collect();
-        parts.shuffle(&mut self.random);
-        parts.truncate(PARTS_AT_ONCE);
-        if !parts.is_empty() {
-            self.send_parts(sender, &parts, true);
+        buckets.shuffle(&mut self.random);
+        buckets.truncate(PARTS_AT_ONCE);
+        if !buckets.is_empty() {
+            self.send_parts(sender, &buckets, true);
         }
     }
 
-    fn send_parts(&mut self, receiver: NodeKey, parts: &[u8], answer: bool) {
+    fn send_parts(&mut self, receiver: NodeKey, buckets: &[u8], reply_requested: bool) {
         let Some(member) = self.table.find(receiver) else {
             return;
         };
         let to = Destination::stream(&member.identity);
         let mut states = Vec::new();
-        for part in parts {
+        for part in buckets {
             self.push_part_states(usize::from(*part), &mut states);
         }
-        let message = MembershipMessage::PartStates {
-            parts: List(parts.to_vec()),
+        let message = MembershipMessage::BucketStates {
+            buckets: List(buckets.to_vec()),
             states: List(states),
-            answer,
+            reply_requested,
         };
         self.send(to, message);
     }
@@ -139,14 +139,14 @@
         &mut self,
         now: Timestamp,
         sender: NodeKey,
-        parts: &[u8],
+        buckets: &[u8],
         states: &[MemberUpdate],
-        answer: bool,
+        reply_requested: bool,
     ) {
         self.merge(now, Some(sender), states);
-        let few = parts.len() <= PARTS_AT_ONCE;
-        if answer && few {
-            self.send_parts(sender, parts, false);
+        let few = buckets.len() <= PARTS_AT_ONCE;
+        if reply_requested && few {
+            self.send_parts(sender, buckets, false);
         }
     }
 
--- a/crates/spurpier-core/src/membership/table.rs
+++ b/crates/spurpier-core/src/membership/table.rs
@@ -95,13 +95,13 @@
     part_digests: [u64; PARTS],
     digest: u64,
     departed: KeyMap<Departed>,
-    unreachable_after: u32,
+    zone_unreachable_failures: u32,
 }
 
 impl MemberTable {
     /// An empty table of a node in this zone and region; a zone counts as unreachable after this
     /// many failed probes in a row.
-    pub fn new(own_zone: ZoneName, own_region: RegionName, unreachable_after: u32) -> Self {
+    pub fn new(own_zone: ZoneName, own_region: RegionName, zone_unreachable_failures: u32) -> Self {
         let first = ZoneState::new(own_zone.clone(), ZoneDistance::OwnZone);
         MemberTable {
             own_zone,
@@ -113,7 +113,7 @@
             part_digests: [0; PARTS],
             digest: 0,
             departed: KeyMap::default(),
-            unreachable_after,
+            zone_unreachable_failures,
         }
     }
 
@@ -184,7 +184,7 @@
     }
 
     pub(super) fn is_reachable(&self, zone: &ZoneState) -> bool {
-        zone.failures_in_row < self.unreachable_after
+        zone.failures_in_row < self.zone_unreachable_failures
     }
 
     /// Whether new work may be sent to the member.
--- a/crates/spurpier-core/tests/membership_merge.rs
+++ b/crates/spurpier-core/tests/membership_merge.rs
@@ -7,7 +7,7 @@
 use spurpier_core::identity::{NodeName, RegionName, ZoneName};
 use spurpier_core::membership::{
     MemberAddresses, MemberIdentity, MemberState, MemberStatus, MemberUpdate, Membership,
-    MembershipAction, MembershipEvent, MembershipMessage, MembershipTuning, NodeKey,
+    MembershipAction, MembershipConfig, MembershipEvent, MembershipMessage, NodeKey,
 };
 use spurpier_core::time::Timestamp;
 use spurpier_core::wire::List;
@@ -27,8 +27,8 @@
 }
 
 fn node() -> Membership {
-    let tuning = Arc::new(MembershipTuning::default());
-    Membership::new(identity(999), 1, Vec::new(), tuning, 1)
+    let config = Arc::new(MembershipConfig::default());
+    Membership::new(identity(999), 1, Vec::new(), config, 1)
 }
 
 fn status() -> impl Strategy<Value = MemberStatus> {
--- a/crates/spurpier-protocol/tests/gossip.rs
+++ b/crates/spurpier-protocol/tests/gossip.rs
@@ -64,14 +64,16 @@
         updates().prop_map(MembershipMessage::FullView),
         update().prop_map(MembershipMessage::Join),
         prop::collection::vec(any::<u64>(), 0..128)
-            .prop_map(|digests| MembershipMessage::PartDigests(List(digests))),
-        (any::<Vec<u8>>(), updates(), any::<bool>()).prop_map(|(parts, states, answer)| {
-            MembershipMessage::PartStates {
-                parts: List(parts),
-                states,
-                answer,
+            .prop_map(|digests| MembershipMessage::BucketDigests(List(digests))),
+        (any::<Vec<u8>>(), updates(), any::<bool>()).prop_map(
+            |(buckets, states, reply_requested)| {
+                MembershipMessage::BucketStates {
+                    buckets: List(buckets),
+                    states,
+                    reply_requested,
+                }
             }
-        }),
+        ),
     ];
     let spread = prop_oneof![
         any::<u64>().prop_map(|since| SpreadMessage::Want { since }),
@@ -93,7 +95,7 @@
     ];
     prop_oneof![
         membership.prop_map(GossipBody::Membership),
-        spread.prop_map(GossipBody::Spread),
+        spread.prop_map(GossipBody::Distribution),
     ]
 }
 
@@ -142,7 +144,7 @@
     let message = GossipMessage {
         sender: NodeKey(1),
         version: 1,
-        body: GossipBody::Membership(MembershipMessage::PartDigests(List(Vec::new()))),
+        body: GossipBody::Membership(MembershipMessage::BucketDigests(List(Vec::new()))),
     };
     let mut bytes = encode(&message);
     let length_at = bytes.len() - 4;
@@ -155,7 +157,7 @@
     let message = GossipMessage {
         sender: NodeKey(1),
         version: 1,
-        body: GossipBody::Spread(SpreadMessage::Want { since: 1 }),
+        body: GossipBody::Distribution(SpreadMessage::Want { since: 1 }),
     };
     let mut bytes = encode(&message);
     bytes.push(0);
@@ -175,7 +177,7 @@
     let message = GossipMessage {
         sender: NodeKey(1),
         version: 1,
-        body: GossipBody::Spread(SpreadMessage::Changes(Delta {
+        body: GossipBody::Distribution(SpreadMessage::Changes(Delta {
             base: 0,
             version: 1,
             digest: 1,
--- a/crates/spurpier-rehearsal/src/hollow/cluster.rs
+++ b/crates/spurpier-rehearsal/src/hollow/cluster.rs
@@ -8,7 +8,7 @@
 
 use rand::RngExt;
 use rand::rngs::SmallRng;
-use spurpier_core::control::{ControlNode, ControlTuning};
+use spurpier_core::control::{ControlConfig, ControlNode};
 use spurpier_core::identity::{NodeName, RegionName, ZoneName};
 use spurpier_core::membership::{ListedMachine, MemberAddresses, MemberIdentity, NodeKey};
 use spurpier_core::spread::{Document, OwnedDocument};
@@ -40,14 +40,14 @@
     live: Vec<MachineNumber>,
     by_key: HashMap<NodeKey, MachineNumber>,
     zones: usize,
-    tuning: ControlTuning,
+    tuning: ControlConfig,
     cache: Rc<RefCell<DocumentCache>>,
     random: SmallRng,
 }
 
 impl Cluster {
     /// No machines.
-    pub(super) fn new(zones: usize, tuning: ControlTuning, random: SmallRng) -> Self {
+    pub(super) fn new(zones: usize, tuning: ControlConfig, random: SmallRng) -> Self {
         Cluster {
             machines: Vec::new(),
             live: Vec::new(),
--- a/crates/spurpier-rehearsal/src/hollow/figures.rs
+++ b/crates/spurpier-rehearsal/src/hollow/figures.rs
@@ -121,7 +121,7 @@
         let mut breaches = Vec::new();
         for node in self.cluster.nodes() {
             let name = &node.identity.name;
-            let document = node.control.spread().document();
+            let document = node.control.distribution().document();
             if document.version() != head || document.digest() != digest {
                 let version = document.version();
                 breaches.push(format!("{name} has version {version}, not {head}"));
--- a/crates/spurpier-rehearsal/src/hollow/measurements.rs
+++ b/crates/spurpier-rehearsal/src/hollow/measurements.rs
@@ -39,12 +39,12 @@
         match event {
             ControlEvent::Tick | ControlEvent::Leave | ControlEvent::Stop => Role::Timers,
             ControlEvent::Received { message, .. } => match &message.body {
-                GossipBody::Spread(_) => Role::Spread,
+                GossipBody::Distribution(_) => Role::Spread,
                 GossipBody::Membership(
                     MembershipMessage::Join(_)
                     | MembershipMessage::FullView(_)
-                    | MembershipMessage::PartDigests(_)
-                    | MembershipMessage::PartStates { .. }
+                    | MembershipMessage::BucketDigests(_)
+                    | MembershipMessage::BucketStates { .. }
                     | MembershipMessage::IdentityRequest(_),
                 ) => Role::View,
                 GossipBody::Membership(_) => Role::Probes,
--- a/crates/spurpier-rehearsal/src/hollow/node.rs
+++ b/crates/spurpier-rehearsal/src/hollow/node.rs
@@ -47,7 +47,7 @@
         zone: usize,
         started_at: Timestamp,
     ) -> Self {
-        let version = control.spread().version();
+        let version = control.distribution().version();
         HollowNode {
             identity: control.membership().identity().clone(),
             control,
--- a/crates/spurpier-rehearsal/src/hollow/simulation.rs
+++ b/crates/spurpier-rehearsal/src/hollow/simulation.rs
@@ -6,7 +6,7 @@
 use error_stack::Report;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use spurpier_core::control::{ControlAction, ControlEvent, ControlTuning};
+use spurpier_core::control::{ControlAction, ControlConfig, ControlEvent};
 use spurpier_core::membership::NodeKey;
 use spurpier_core::time::Timestamp;
 
@@ -102,7 +102,7 @@
             scenario.loss_per_million,
             fork(&mut random),
         );
-        let mut cluster = Cluster::new(zones, ControlTuning::default(), fork(&mut random));
+        let mut cluster = Cluster::new(zones, ControlConfig::default(), fork(&mut random));
         cluster.start_together(options.nodes, platform.document());
         let begin = Timestamp::from_millis(scenario.warm_up_s * 1_000);
         let end = begin + Duration::from_secs(scenario.seconds);
--- a/crates/spurpier/src/cluster/control/actor.rs
+++ b/crates/spurpier/src/cluster/control/actor.rs
@@ -189,7 +189,7 @@
 
     /// Offers the policy in the document, which is then in force if it is sound.
     async fn install(&self, version: u64) {
-        match policy_from_entries(self.node.spread().document()) {
+        match policy_from_entries(self.node.distribution().document()) {
             Ok((head, document)) => self.policy.offer(PublishedPolicy { head, document }).await,
             Err(error) => {
                 log_event!(POLICY_DOCUMENT_INVALID, version = version, error = error);
@@ -203,7 +203,7 @@
             &self.homes,
             &self.reach,
             self.node.is_watcher(),
-            self.node.spread().version(),
+            self.node.distribution().version(),
         );
         self.view.store(Arc::new(view));
     }
--- a/crates/spurpier/src/cluster/control/handle.rs
+++ b/crates/spurpier/src/cluster/control/handle.rs
@@ -6,9 +6,9 @@
 
 use arc_swap::ArcSwap;
 use kameo::prelude::*;
-use spurpier_core::control::{ControlEvent, ControlNode, ControlTuning};
+use spurpier_core::control::{ControlConfig, ControlEvent, ControlNode};
 use spurpier_core::homes::HomeTable;
-use spurpier_core::membership::{MemberAddresses, MemberIdentity, MembershipTuning};
+use spurpier_core::membership::{MemberAddresses, MemberIdentity, MembershipConfig};
 use spurpier_core::spread::{OwnedDocument, SpreadTuning};
 use spurpier_protocol::gossip;
 use tokio::net::{TcpListener, UdpSocket};
@@ -213,19 +213,19 @@
     incarnation: u64,
     clock: Clock,
 ) -> ControlNode<OwnedDocument> {
-    let membership = MembershipTuning {
-        own_zone_interval: Duration::from_millis(settings.membership.probe_ms),
-        suspicion: Duration::from_millis(settings.membership.suspicion_ms),
-        ..MembershipTuning::default()
+    let membership = MembershipConfig {
+        own_zone_probe_interval: Duration::from_millis(settings.membership.probe_ms),
+        suspicion_timeout: Duration::from_millis(settings.membership.suspicion_ms),
+        ..MembershipConfig::default()
     };
     let spread = SpreadTuning {
         poll_interval: Duration::from_millis(settings.platform.poll_ms),
         ..SpreadTuning::default()
     };
-    let tuning = ControlTuning {
+    let tuning = ControlConfig {
         membership: Arc::new(membership),
-        spread: Arc::new(spread),
-        ..ControlTuning::default()
+        distribution: Arc::new(spread),
+        ..ControlConfig::default()
     };
     ControlNode::new(
         clock.now(),
