--- a/crates/spurpier-core/benches/decisions.rs
+++ b/crates/spurpier-core/benches/decisions.rs
@@ -29,7 +29,7 @@
             name: ServerName::from(format!("server-{index}")),
             zone: ZoneName::from(format!("zone-{index}")),
             observed: Some(ObservedStatus {
-                asked_at: Timestamp::from_millis(1),
+                requested_at: Timestamp::from_millis(1),
                 status: ServerStatus {
                     vote_term: 4,
                     received: position,
@@ -83,10 +83,10 @@
         upstream_floor: Position::ZERO,
         replica_allowed: true,
     };
-    let patience = Duration::from_millis(100);
+    let replica_wait = Duration::from_millis(100);
     let now = Timestamp::from_millis(2);
     criterion.bench_function("route of a read", |bencher| {
-        bencher.iter(|| route_read(black_box(&view), &demand, &loads, &zone, patience, now));
+        bencher.iter(|| route_read(black_box(&view), &demand, &loads, &zone, replica_wait, now));
     });
     criterion.bench_function("route of a write", |bencher| {
         bencher.iter(|| route_write(black_box(&view), now));
--- a/crates/spurpier-core/benches/ranks.rs
+++ b/crates/spurpier-core/benches/ranks.rs
@@ -10,7 +10,7 @@
 use spurpier_core::membership::NodeKey;
 use spurpier_core::ranks::{RankTable, Rankable};
 
-const FLEETS: [u64; 3] = [30, 300, 6_100];
+const CLUSTER_SIZES: [u64; 3] = [30, 300, 6_100];
 const ZONES: u64 = 6;
 const GROUPS: usize = 8;
 
@@ -26,37 +26,37 @@
 }
 
 /// One node goes and comes back: two rows.
-fn move_one(criterion: &mut Criterion) {
+fn update_incrementally(criterion: &mut Criterion) {
     let mut benches = criterion.benchmark_group("two rows, ranks moved");
-    for fleet in FLEETS {
+    for size in CLUSTER_SIZES {
         let mut table = RankTable::new(MOST_HOMES);
         for number in 0..GROUPS {
             table.add_subject(subject_digest(&group(number)));
         }
-        for number in 0..fleet {
+        for number in 0..size {
             table.add(&(number % ZONES), node(number));
         }
         let mut next = 0;
-        benches.bench_function(BenchmarkId::from_parameter(fleet), |bencher| {
+        benches.bench_function(BenchmarkId::from_parameter(size), |bencher| {
             bencher.iter(|| {
                 let moving = node(next);
                 black_box(table.remove(moving.key()));
                 black_box(table.add(&(next % ZONES), moving));
-                next = (next + 1) % fleet;
+                next = (next + 1) % size;
             });
         });
     }
 }
 
 /// The ranks of all zones computed twice from all nodes.
-fn compute_anew(criterion: &mut Criterion) {
+fn recompute(criterion: &mut Criterion) {
     let mut benches = criterion.benchmark_group("two rows, ranks computed anew");
-    for fleet in FLEETS {
+    for size in CLUSTER_SIZES {
         let mut zones: BTreeMap<u64, Vec<RankedNode>> = BTreeMap::new();
-        for number in 0..fleet {
+        for number in 0..size {
             zones.entry(number % ZONES).or_default().push(node(number));
         }
-        benches.bench_function(BenchmarkId::from_parameter(fleet), |bencher| {
+        benches.bench_function(BenchmarkId::from_parameter(size), |bencher| {
             bencher.iter(|| {
                 for number in 0..2 * GROUPS {
                     let name = group(number % GROUPS);
@@ -69,5 +69,5 @@
     }
 }
 
-criterion_group!(ranks, move_one, compute_anew);
+criterion_group!(ranks, update_incrementally, recompute);
 criterion_main!(ranks);
--- a/crates/spurpier-core/src/admission.rs
+++ b/crates/spurpier-core/src/admission.rs
@@ -7,11 +7,11 @@
 use crate::time::Timestamp;
 
 /// The weight of the newest interval in the measured time between two departures.
-const NEWEST_WEIGHT: f64 = 0.1;
+const EWMA_WEIGHT: f64 = 0.1;
 /// The time between two departures that is assumed before any was measured.
-const ASSUMED_INTERVAL: Duration = Duration::from_millis(5);
+const INITIAL_RELEASE_INTERVAL: Duration = Duration::from_millis(5);
 /// The shortest time after which a refused caller is asked to come back.
-const LEAST_RETRY_AFTER: Duration = Duration::from_millis(10);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(10);
 
 /// Names a unit in the queue; never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -19,10 +19,10 @@
 
 /// What becomes of a unit that arrives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Arrival {
+pub enum AdmissionDecision {
     /// It has a slot.
     Admitted,
-    /// It waits; [`Admission::next`] names it when a slot is free.
+    /// It waits; [`AdmissionControl::start_next`] names it when a slot is free.
     Queued(Ticket),
     /// It cannot start before its deadline, or the queue is full.
     Refused {
@@ -32,7 +32,7 @@
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct QueuedUnit {
     ticket: Ticket,
     deadline: Timestamp,
 }
@@ -43,31 +43,31 @@
 /// hold up the others. The time between departures is measured while units wait, and predicts
 /// whether a new one can start before its deadline.
 #[derive(Debug)]
-pub struct Admission {
+pub struct AdmissionControl {
     slots: usize,
     running: usize,
     queue_limit: usize,
     waiting: usize,
     next_ticket: u64,
-    turns: VecDeque<SessionId>,
-    sessions: HashMap<SessionId, VecDeque<Waiting>>,
-    interval: Duration,
-    last_departure: Option<Timestamp>,
+    session_order: VecDeque<SessionId>,
+    sessions: HashMap<SessionId, VecDeque<QueuedUnit>>,
+    release_interval: Duration,
+    last_release: Option<Timestamp>,
 }
 
-impl Admission {
+impl AdmissionControl {
     /// A server that runs `slots` units at the same time, with room for `queue_limit` more.
     pub fn new(slots: usize, queue_limit: usize) -> Self {
-        Admission {
+        AdmissionControl {
             slots: slots.max(1),
             running: 0,
             queue_limit,
             waiting: 0,
             next_ticket: 0,
-            turns: VecDeque::new(),
+            session_order: VecDeque::new(),
             sessions: HashMap::new(),
-            interval: ASSUMED_INTERVAL,
-            last_departure: None,
+            release_interval: INITIAL_RELEASE_INTERVAL,
+            last_release: None,
         }
     }
 
@@ -94,30 +94,30 @@
     /// A unit arrives that must start before `deadline`.
     ///
     /// `connection_free` tells whether a connection could be had at once.
-    pub fn arrive(
+    pub fn admit(
         &mut self,
         session: &SessionId,
         deadline: Timestamp,
         connection_free: bool,
         now: Timestamp,
-    ) -> Arrival {
+    ) -> AdmissionDecision {
         if self.waiting == 0 && self.running < self.slots && connection_free {
             self.running += 1;
-            return Arrival::Admitted;
+            return AdmissionDecision::Admitted;
         }
         let wait = self.expected_wait();
         if self.waiting >= self.queue_limit || now + wait > deadline {
-            return Arrival::Refused {
-                retry_after: wait.max(LEAST_RETRY_AFTER),
+            return AdmissionDecision::Refused {
+                retry_after: wait.max(MIN_RETRY_AFTER),
             };
         }
-        Arrival::Queued(self.enqueue(session, deadline))
+        AdmissionDecision::Queued(self.enqueue(session, deadline))
     }
 
     /// How long a unit that arrives now is likely to wait.
     pub fn expected_wait(&self) -> Duration {
         let ahead = u32::try_from(self.waiting).unwrap_or(u32::MAX);
-        self.interval.saturating_mul(ahead)
+        self.release_interval.saturating_mul(ahead)
     }
 
     fn enqueue(&mut self, session: &SessionId, deadline: Timestamp) -> Ticket {
@@ -126,19 +126,19 @@
         self.waiting += 1;
         let queue = self.sessions.entry(session.clone()).or_default();
         if queue.is_empty() {
-            self.turns.push_back(session.clone());
+            self.session_order.push_back(session.clone());
         }
-        queue.push_back(Waiting { ticket, deadline });
+        queue.push_back(QueuedUnit { ticket, deadline });
         ticket
     }
 
     /// The next unit to start, if a slot is free; units past their deadline are passed over and
     /// stay with their owner, who withdraws them.
-    pub fn next(&mut self, now: Timestamp) -> Option<Ticket> {
+    pub fn start_next(&mut self, now: Timestamp) -> Option<Ticket> {
         if self.running >= self.slots {
             return None;
         }
-        while let Some(waiting) = self.take_turn() {
+        while let Some(waiting) = self.pop_round_robin() {
             if waiting.deadline > now {
                 self.running += 1;
                 return Some(waiting.ticket);
@@ -147,32 +147,32 @@
         None
     }
 
-    fn take_turn(&mut self) -> Option<Waiting> {
-        let session = self.turns.pop_front()?;
+    fn pop_round_robin(&mut self) -> Option<QueuedUnit> {
+        let session = self.session_order.pop_front()?;
         let queue = self.sessions.get_mut(&session)?;
         let waiting = queue.pop_front();
         if queue.is_empty() {
             self.sessions.remove(&session);
         } else {
-            self.turns.push_back(session);
+            self.session_order.push_back(session);
         }
         self.waiting -= usize::from(waiting.is_some());
         waiting
     }
 
     /// A waiting unit gives up; true if it still waited.
-    pub fn withdraw(&mut self, session: &SessionId, ticket: Ticket) -> bool {
+    pub fn cancel(&mut self, session: &SessionId, ticket: Ticket) -> bool {
         let Some(queue) = self.sessions.get_mut(session) else {
             return false;
         };
-        let Some(place) = queue.iter().position(|waiting| waiting.ticket == ticket) else {
+        let Some(index) = queue.iter().position(|waiting| waiting.ticket == ticket) else {
             return false;
         };
-        queue.remove(place);
+        queue.remove(index);
         self.waiting -= 1;
         if queue.is_empty() {
             self.sessions.remove(session);
-            self.turns.retain(|turn| turn != session);
+            self.session_order.retain(|other| other != session);
         }
         true
     }
@@ -181,25 +181,26 @@
     ///
     /// It never waits, for others may wait for the locks that it holds; the slots may be
     /// exceeded by as many transactions as have connections.
-    pub fn resume(&mut self) {
+    pub fn reacquire_slot(&mut self) {
         self.running += 1;
     }
 
     /// A unit leaves its slot.
-    pub fn depart(&mut self, now: Timestamp) {
+    pub fn release_slot(&mut self, now: Timestamp) {
         self.running = self.running.saturating_sub(1);
         if self.waiting > 0 {
-            self.measure(now);
+            self.update_release_interval(now);
         }
-        self.last_departure = Some(now);
+        self.last_release = Some(now);
     }
 
-    fn measure(&mut self, now: Timestamp) {
-        let Some(last) = self.last_departure else {
+    fn update_release_interval(&mut self, now: Timestamp) {
+        let Some(last) = self.last_release else {
             return;
         };
         let newest = now.since(last).as_secs_f64();
-        let smoothed = self.interval.as_secs_f64() * (1.0 - NEWEST_WEIGHT) + newest * NEWEST_WEIGHT;
-        self.interval = Duration::from_secs_f64(smoothed);
+        let smoothed =
+            self.release_interval.as_secs_f64() * (1.0 - EWMA_WEIGHT) + newest * EWMA_WEIGHT;
+        self.release_interval = Duration::from_secs_f64(smoothed);
     }
 }
--- a/crates/spurpier-core/src/group.rs
+++ b/crates/spurpier-core/src/group.rs
@@ -52,7 +52,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ObservedStatus {
     /// When the probe left; the status is at least as new as this.
-    pub asked_at: Timestamp,
+    pub requested_at: Timestamp,
     /// What the server answered.
     pub status: ServerStatus,
 }
@@ -75,22 +75,22 @@
 impl ServerView {
     /// Whether any source says that the server is leaving.
     pub fn is_leaving(&self) -> bool {
-        let says_so = self
+        let reported = self
             .observed
             .as_ref()
             .is_some_and(|observed| observed.status.leaving);
-        says_so || self.leaving_hint
+        reported || self.leaving_hint
     }
 
     /// Whether new work may be sent to the server at `now`.
     ///
     /// A status older than [`STATUS_VALIDITY`] allows nothing: a node that was paused must look
     /// again before it sends work to a server that may have begun to leave meanwhile.
-    pub fn takes_work(&self, now: Timestamp) -> bool {
+    pub fn accepts_work(&self, now: Timestamp) -> bool {
         let current = self
             .observed
             .as_ref()
-            .is_some_and(|observed| now.since(observed.asked_at) < STATUS_VALIDITY);
+            .is_some_and(|observed| now.since(observed.requested_at) < STATUS_VALIDITY);
         self.reachable && current && !self.is_leaving()
     }
 }
@@ -109,18 +109,18 @@
     }
 
     /// The statuses whose probes left at or after `since`.
-    fn statuses_since(&self, since: Timestamp) -> impl Iterator<Item = &ServerStatus> {
+    fn statuses_requested_since(&self, since: Timestamp) -> impl Iterator<Item = &ServerStatus> {
         self.servers
             .iter()
             .filter_map(|server| server.observed.as_ref())
-            .filter(move |observed| observed.asked_at >= since)
+            .filter(move |observed| observed.requested_at >= since)
             .map(|observed| &observed.status)
     }
 
     /// Whether a write at `position` is confirmed: no later primary can lack it (fact 1).
     pub fn is_confirmed(&self, position: Position) -> bool {
         let holders = self
-            .statuses_since(Timestamp::ZERO)
+            .statuses_requested_since(Timestamp::ZERO)
             .filter(|status| status.received.term == position.term)
             .filter(|status| status.received.offset >= position.offset)
             .count();
@@ -133,16 +133,16 @@
     /// term. A record of the newer term that a majority holds confirms all before it, and its
     /// parent tells up to where that is the old term's log.
     fn is_confirmed_by_newer_term(&self, position: Position) -> bool {
-        self.statuses_since(Timestamp::ZERO)
+        self.statuses_requested_since(Timestamp::ZERO)
             .filter(|status| status.received.term > position.term)
             .filter(|status| status.term_parent.term == position.term)
             .filter(|status| status.term_parent.offset >= position.offset)
-            .any(|status| self.holders_of_term(status.received.term) >= self.majority())
+            .any(|status| self.servers_in_term(status.received.term) >= self.majority())
     }
 
     /// How many servers' logs end in this term; a majority of them has confirmed its start.
-    fn holders_of_term(&self, term: u64) -> usize {
-        self.statuses_since(Timestamp::ZERO)
+    fn servers_in_term(&self, term: u64) -> usize {
+        self.statuses_requested_since(Timestamp::ZERO)
             .filter(|status| status.received.term == term)
             .count()
     }
@@ -153,9 +153,9 @@
     /// than the applied position, that position lies before the newer term's start, and one
     /// confirmed record of the newer term confirms all before it. A server that fails this may
     /// show writes that will be lost with a replaced primary.
-    pub fn shows_only_confirmed(&self, status: &ServerStatus) -> bool {
+    pub fn applied_is_confirmed(&self, status: &ServerStatus) -> bool {
         let mut held: Vec<u64> = self
-            .statuses_since(Timestamp::ZERO)
+            .statuses_requested_since(Timestamp::ZERO)
             .map(|known| known.received)
             .filter(|received| received.term == status.received.term)
             .map(|received| received.offset)
@@ -172,7 +172,7 @@
     /// None until a majority has answered probes sent at or after `since`.
     pub fn read_index(&self, since: Timestamp) -> Option<Position> {
         let received: Vec<Position> = self
-            .statuses_since(since)
+            .statuses_requested_since(since)
             .map(|status| status.received)
             .collect();
         if received.len() < self.majority() {
@@ -183,7 +183,7 @@
 
     /// The newest term that any server has voted in or holds a record of.
     pub fn newest_term(&self) -> u64 {
-        self.statuses_since(Timestamp::ZERO)
+        self.statuses_requested_since(Timestamp::ZERO)
             .map(|status| status.vote_term.max(status.received.term))
             .max()
             .unwrap_or(0)
--- a/crates/spurpier-core/src/group_history.rs
+++ b/crates/spurpier-core/src/group_history.rs
@@ -9,13 +9,13 @@
 use crate::time::Timestamp;
 
 /// How many past read indexes are kept.
-const REMEMBERED_INDEXES: usize = 256;
+const MAX_READ_INDEXES: usize = 256;
 
 /// A read index and the moment for which it holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PastIndex {
+pub struct PastReadIndex {
     /// Every write confirmed before this moment is at or before `position`.
-    pub since: Timestamp,
+    pub as_of: Timestamp,
     /// The read index.
     pub position: Position,
 }
@@ -23,25 +23,25 @@
 /// Past read indexes in the order of time, and the start of each term.
 #[derive(Debug, Clone, Default)]
 pub struct GroupHistory {
-    indexes: VecDeque<PastIndex>,
-    starts: TermStarts,
+    indexes: VecDeque<PastReadIndex>,
+    term_starts: TermStarts,
     confirmed: Position,
 }
 
 impl GroupHistory {
     /// Takes in a new view.
     pub fn observe(&mut self, view: &GroupView) {
-        self.starts.observe(view);
-        self.confirmed = self.confirmed.max(greatest_confirmed(view));
-        let Some(latest) = latest_index(view) else {
+        self.term_starts.observe(view);
+        self.confirmed = self.confirmed.max(highest_confirmed(view));
+        let Some(latest) = latest_read_index(view) else {
             return;
         };
-        let known = self.indexes.back().map(|past| past.since);
-        if known.is_some_and(|known| known >= latest.since) {
+        let known = self.indexes.back().map(|past| past.as_of);
+        if known.is_some_and(|known| known >= latest.as_of) {
             return;
         }
         self.indexes.push_back(latest);
-        if self.indexes.len() > REMEMBERED_INDEXES {
+        if self.indexes.len() > MAX_READ_INDEXES {
             self.indexes.pop_front();
         }
     }
@@ -54,25 +54,25 @@
     }
 
     /// The start of each term as far as seen.
-    pub fn starts(&self) -> &TermStarts {
-        &self.starts
+    pub fn term_starts(&self) -> &TermStarts {
+        &self.term_starts
     }
 
     /// A position at or past every write confirmed before `moment`; none if too little is known.
-    pub fn index_at(&self, moment: Timestamp) -> Option<Position> {
-        let found = self.indexes.partition_point(|past| past.since < moment);
+    pub fn read_index_at(&self, moment: Timestamp) -> Option<Position> {
+        let found = self.indexes.partition_point(|past| past.as_of < moment);
         self.indexes.get(found).map(|past| past.position)
     }
 
     /// How long ago the group first held more than `applied`; zero when it holds no more.
     pub fn lag(&self, applied: Position, now: Timestamp) -> Duration {
         let newer = self.indexes.iter().find(|past| past.position > applied);
-        newer.map_or(Duration::ZERO, |past| now.since(past.since))
+        newer.map_or(Duration::ZERO, |past| now.since(past.as_of))
     }
 }
 
 /// The greatest position that the view shows to be confirmed.
-fn greatest_confirmed(view: &GroupView) -> Position {
+fn highest_confirmed(view: &GroupView) -> Position {
     let observed = view
         .servers
         .iter()
@@ -85,15 +85,15 @@
 }
 
 /// The read index for the latest moment that a majority's answers cover.
-fn latest_index(view: &GroupView) -> Option<PastIndex> {
-    let mut asked: Vec<Timestamp> = view
+fn latest_read_index(view: &GroupView) -> Option<PastReadIndex> {
+    let mut requested: Vec<Timestamp> = view
         .servers
         .iter()
         .filter_map(|server| server.observed.as_ref())
-        .map(|observed| observed.asked_at)
+        .map(|observed| observed.requested_at)
         .collect();
-    asked.sort_unstable();
-    let since = *asked.iter().rev().nth(view.majority() - 1)?;
-    let position = view.read_index(since)?;
-    Some(PastIndex { since, position })
+    requested.sort_unstable();
+    let as_of = *requested.iter().rev().nth(view.majority() - 1)?;
+    let position = view.read_index(as_of)?;
+    Some(PastReadIndex { as_of, position })
 }
--- a/crates/spurpier-core/src/handover.rs
+++ b/crates/spurpier-core/src/handover.rs
@@ -18,9 +18,9 @@
     /// Open the fence on the primary of the side that is entered, at this epoch.
     OpenFence(u64),
     /// Probe the group of the side that is left, and report its view.
-    ProbeOldSide,
+    ProbeSource,
     /// Probe the group of the side that is entered, and report its view.
-    ProbeNewSide,
+    ProbeTarget,
     /// Nothing: the move is done.
     Done,
     /// Nothing: the databases know a newer epoch, so this move has been overtaken.
@@ -46,9 +46,9 @@
     /// The fence stands at a newer epoch.
     FenceConflict,
     /// A view of the group of the side that is left.
-    OldSide(&'a GroupView),
+    SourceView(&'a GroupView),
     /// A view of the group of the side that is entered.
-    NewSide(&'a GroupView),
+    TargetView(&'a GroupView),
 }
 
 /// How far a move has come; ordered.
@@ -119,10 +119,10 @@
         match self.step {
             HandoverStep::Checking => HandoverAction::ReadFence,
             HandoverStep::Raising => HandoverAction::RaiseFence(self.epoch),
-            HandoverStep::ConfirmingRaise(_) => HandoverAction::ProbeOldSide,
+            HandoverStep::ConfirmingRaise(_) => HandoverAction::ProbeSource,
             HandoverStep::ConfirmingCheck(_)
             | HandoverStep::CatchingUp(_)
-            | HandoverStep::ConfirmingOpen(_) => HandoverAction::ProbeNewSide,
+            | HandoverStep::ConfirmingOpen(_) => HandoverAction::ProbeTarget,
             HandoverStep::Opening => HandoverAction::OpenFence(self.epoch),
             HandoverStep::Done => HandoverAction::Done,
             HandoverStep::Overtaken => HandoverAction::Overtaken,
@@ -130,7 +130,7 @@
     }
 
     /// Takes in what came of an action, and says what to do next.
-    pub fn step_with(&mut self, event: &HandoverEvent<'_>) -> HandoverAction {
+    pub fn handle_event(&mut self, event: &HandoverEvent<'_>) -> HandoverAction {
         self.step = self.next_step(event);
         self.action()
     }
@@ -144,7 +144,7 @@
                     open,
                     position,
                 },
-            ) => self.checked(*epoch, *open, *position),
+            ) => self.after_fence_read(*epoch, *open, *position),
             (HandoverStep::Raising, HandoverEvent::FenceRaised(position)) => {
                 HandoverStep::ConfirmingRaise(*position)
             }
@@ -154,13 +154,13 @@
             (HandoverStep::Raising | HandoverStep::Opening, HandoverEvent::FenceConflict) => {
                 HandoverStep::Overtaken
             }
-            (_, HandoverEvent::OldSide(view)) => self.with_old_side(view),
-            (_, HandoverEvent::NewSide(view)) => self.with_new_side(view),
+            (_, HandoverEvent::SourceView(view)) => self.after_source_view(view),
+            (_, HandoverEvent::TargetView(view)) => self.after_target_view(view),
             (step, _) => step,
         }
     }
 
-    fn checked(&self, epoch: u64, open: bool, position: Position) -> HandoverStep {
+    fn after_fence_read(&self, epoch: u64, open: bool, position: Position) -> HandoverStep {
         if epoch > self.epoch {
             return HandoverStep::Overtaken;
         }
@@ -170,7 +170,7 @@
         HandoverStep::Raising
     }
 
-    fn with_old_side(&self, view: &GroupView) -> HandoverStep {
+    fn after_source_view(&self, view: &GroupView) -> HandoverStep {
         let HandoverStep::ConfirmingRaise(position) = self.step else {
             return self.step;
         };
@@ -178,27 +178,27 @@
             return HandoverStep::CatchingUp(position);
         }
         // A newer term may lack the raised fence: raising it again is harmless and sure.
-        if is_replaced(view, position) {
+        if has_newer_primary(view, position) {
             return HandoverStep::Raising;
         }
         self.step
     }
 
-    fn with_new_side(&self, view: &GroupView) -> HandoverStep {
+    fn after_target_view(&self, view: &GroupView) -> HandoverStep {
         match self.step {
-            HandoverStep::CatchingUp(position) if shows_confirmed(view, position) => {
+            HandoverStep::CatchingUp(position) if has_caught_up(view, position) => {
                 HandoverStep::Opening
             }
             HandoverStep::ConfirmingOpen(position) if view.is_confirmed(position) => {
                 HandoverStep::Done
             }
-            HandoverStep::ConfirmingOpen(position) if is_replaced(view, position) => {
+            HandoverStep::ConfirmingOpen(position) if has_newer_primary(view, position) => {
                 HandoverStep::Opening
             }
             HandoverStep::ConfirmingCheck(position) if view.is_confirmed(position) => {
                 HandoverStep::Done
             }
-            HandoverStep::ConfirmingCheck(position) if is_replaced(view, position) => {
+            HandoverStep::ConfirmingCheck(position) if has_newer_primary(view, position) => {
                 HandoverStep::Checking
             }
             step => step,
@@ -207,13 +207,13 @@
 }
 
 /// Whether a primary of a newer term than the position's has been found.
-fn is_replaced(view: &GroupView, position: Position) -> bool {
+fn has_newer_primary(view: &GroupView, position: Position) -> bool {
     view.primary().is_some() && view.newest_term() > position.term
 }
 
 /// Whether the group's primary shows the other side's log up to `upstream`, by a record that no
 /// later primary can lack.
-fn shows_confirmed(view: &GroupView, upstream: Position) -> bool {
+fn has_caught_up(view: &GroupView, upstream: Position) -> bool {
     let primary = view
         .primary()
         .and_then(|index| view.servers[index].observed.as_ref());
--- a/crates/spurpier-core/src/homes.rs
+++ b/crates/spurpier-core/src/homes.rs
@@ -12,7 +12,7 @@
 
 use crate::identity::{DatabaseName, ZoneName};
 use crate::membership::{MemberChange, MemberIdentity, NodeKey};
-use crate::ranks::{Moved, RankTable, Rankable};
+use crate::ranks::{RankChange, RankTable, Rankable};
 
 /// The rendezvous score of a node for a database or another thing that nodes are ranked for.
 pub fn rendezvous_score(subject_digest: u64, node: NodeKey) -> u64 {
@@ -27,17 +27,17 @@
 /// How often a node repeats messages of one kind so that they stay within a budget.
 ///
 /// `messages` are sent each time, of `message_bytes` each on the wire; together they may take
-/// `bytes_per_second`. The interval is at least `least`, and as much longer as the budget needs: a
+/// `bytes_per_second`. The interval is at least `minimum`, and as much longer as the budget needs: a
 /// node that is first home of many databases probes each of them less often.
 pub fn budgeted_interval(
-    least: Duration,
+    minimum: Duration,
     messages: usize,
     message_bytes: usize,
     bytes_per_second: usize,
 ) -> Duration {
     let bytes = (messages * message_bytes) as f64;
     let needed = Duration::from_secs_f64(bytes / bytes_per_second.max(1) as f64);
-    least.max(needed)
+    minimum.max(needed)
 }
 
 /// The homes of a database in one zone, best rank first.
@@ -136,18 +136,18 @@
 
     /// Adds a node; gives the databases of which it has become a home.
     pub fn add(&mut self, identity: &Arc<MemberIdentity>) -> Vec<DatabaseName> {
-        let moved = self.ranks.add(&identity.zone, identity.key());
-        self.names_of(&moved)
+        let changes = self.ranks.add(&identity.zone, identity.key());
+        self.changed_databases(&changes)
     }
 
     /// Takes a node out; gives the databases of which it was a home.
     pub fn remove(&mut self, key: NodeKey) -> Vec<DatabaseName> {
-        let moved = self.ranks.remove(key);
-        self.names_of(&moved)
+        let changes = self.ranks.remove(key);
+        self.changed_databases(&changes)
     }
 
-    fn names_of(&self, moved: &[Moved]) -> Vec<DatabaseName> {
-        let names = moved.iter().map(|moved| &self.names[moved.subject]);
+    fn changed_databases(&self, changes: &[RankChange]) -> Vec<DatabaseName> {
+        let names = changes.iter().map(|change| &self.names[change.subject]);
         names.cloned().collect()
     }
 
@@ -156,12 +156,12 @@
         let index = *self.by_name.get(database)? as usize;
         let digest = self.digests[index];
         let mut zones: Vec<ZoneHomes> = if self.per_zone > 0 {
-            let ranked = self.ranks.ranked(index);
+            let ranked = self.ranks.ranked_nodes(index);
             ranked
                 .map(|(zone, nodes)| zone_homes(zone, nodes))
                 .collect()
         } else {
-            let all = self.ranks.zone_nodes();
+            let all = self.ranks.nodes_by_zone();
             let all = all.map(|(zone, nodes)| zone_homes(zone, all_ranked(nodes, digest)));
             all.collect()
         };
@@ -181,7 +181,7 @@
         if self.per_zone == 0 {
             return self.ranks.contains(node);
         }
-        self.ranks.holds_place(*index as usize, node)
+        self.ranks.is_ranked(*index as usize, node)
     }
 
     /// Whether the node is the first-ranked home of the database.
@@ -193,11 +193,11 @@
     /// The bytes that the table holds, names counted once.
     pub fn memory_bytes(&self) -> usize {
         /// A shared text has two counts in front of it.
-        const COUNTS: usize = 2 * size_of::<usize>();
+        const REFERENCE_COUNT_BYTES: usize = 2 * size_of::<usize>();
         let names: usize = self
             .names
             .iter()
-            .map(|name| size_of::<DatabaseName>() + COUNTS + name.as_str().len())
+            .map(|name| size_of::<DatabaseName>() + REFERENCE_COUNT_BYTES + name.as_str().len())
             .sum();
         let by_name = self.by_name.capacity() * (size_of::<(DatabaseName, u32)>() + 1) * 8 / 7;
         let digests = self.digests.capacity() * size_of::<u64>();
--- a/crates/spurpier-core/src/pool.rs
+++ b/crates/spurpier-core/src/pool.rs
@@ -8,13 +8,13 @@
 use crate::time::Timestamp;
 
 /// The time that passes after a refused connection before another is opened.
-const REFUSAL_PAUSE: Duration = Duration::from_millis(100);
+const OPEN_FAILURE_BACKOFF: Duration = Duration::from_millis(100);
 
 /// How a unit gets its connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LeaseDecision {
+pub enum AcquireDecision {
     /// An idle connection is taken.
-    TakeIdle,
+    ReuseIdle,
     /// A new one must be opened; it is counted from now on.
     Open,
     /// All are in use: the unit must wait for one.
@@ -26,9 +26,9 @@
 pub struct PoolState {
     limit: usize,
     idle: usize,
-    leased: usize,
+    in_use: usize,
     opening: usize,
-    paused_until: Timestamp,
+    backoff_until: Timestamp,
 }
 
 impl PoolState {
@@ -37,9 +37,9 @@
         PoolState {
             limit,
             idle: 0,
-            leased: 0,
+            in_use: 0,
             opening: 0,
-            paused_until: Timestamp::ZERO,
+            backoff_until: Timestamp::ZERO,
         }
     }
 
@@ -59,41 +59,41 @@
     }
 
     /// Connections that serve a unit.
-    pub fn leased(&self) -> usize {
-        self.leased
+    pub fn in_use(&self) -> usize {
+        self.in_use
     }
 
     /// Connections that are open or being opened.
     pub fn total(&self) -> usize {
-        self.idle + self.leased + self.opening
+        self.idle + self.in_use + self.opening
     }
 
     /// Whether a unit could get a connection now.
-    pub fn has_room(&self, now: Timestamp) -> bool {
-        self.idle > 0 || self.may_open(now)
+    pub fn can_acquire(&self, now: Timestamp) -> bool {
+        self.idle > 0 || self.can_open(now)
     }
 
-    fn may_open(&self, now: Timestamp) -> bool {
-        self.total() < self.limit && now >= self.paused_until
+    fn can_open(&self, now: Timestamp) -> bool {
+        self.total() < self.limit && now >= self.backoff_until
     }
 
     /// A unit wants a connection.
-    pub fn lease(&mut self, now: Timestamp) -> LeaseDecision {
+    pub fn acquire(&mut self, now: Timestamp) -> AcquireDecision {
         if self.idle > 0 {
             self.idle -= 1;
-            self.leased += 1;
-            return LeaseDecision::TakeIdle;
+            self.in_use += 1;
+            return AcquireDecision::ReuseIdle;
         }
-        if self.may_open(now) {
+        if self.can_open(now) {
             self.opening += 1;
-            return LeaseDecision::Open;
+            return AcquireDecision::Open;
         }
-        LeaseDecision::Exhausted
+        AcquireDecision::Exhausted
     }
 
     /// How many connections to open ahead so that `wanted` are open or being opened.
-    pub fn open_ahead(&mut self, wanted: usize, now: Timestamp) -> usize {
-        if now < self.paused_until {
+    pub fn preopen(&mut self, wanted: usize, now: Timestamp) -> usize {
+        if now < self.backoff_until {
             return 0;
         }
         let missing = wanted.min(self.limit).saturating_sub(self.total());
@@ -102,13 +102,13 @@
     }
 
     /// An opened connection starts to serve a unit.
-    pub fn opened_for_unit(&mut self) {
+    pub fn opened_in_use(&mut self) {
         self.opening -= 1;
-        self.leased += 1;
+        self.in_use += 1;
     }
 
     /// An opened connection waits for work.
-    pub fn opened_ahead(&mut self) {
+    pub fn opened_idle(&mut self) {
         self.opening -= 1;
         self.idle += 1;
     }
@@ -116,20 +116,20 @@
     /// A connection could not be opened; no other is opened for a moment.
     pub fn open_failed(&mut self, now: Timestamp) {
         self.opening -= 1;
-        self.paused_until = now + REFUSAL_PAUSE;
+        self.backoff_until = now + OPEN_FAILURE_BACKOFF;
     }
 
     /// A clean connection comes back; false tells to close it, for the limit has fallen.
-    pub fn give_back(&mut self) -> bool {
-        self.leased -= 1;
+    pub fn release(&mut self) -> bool {
+        self.in_use -= 1;
         let keep = self.total() < self.limit;
         self.idle += usize::from(keep);
         keep
     }
 
     /// A leased connection was closed.
-    pub fn closed_leased(&mut self) {
-        self.leased -= 1;
+    pub fn closed_in_use(&mut self) {
+        self.in_use -= 1;
     }
 
     /// `count` idle connections were closed.
--- a/crates/spurpier-core/src/ranks.rs
+++ b/crates/spurpier-core/src/ranks.rs
@@ -9,7 +9,7 @@
 use crate::membership::NodeKey;
 
 /// An empty place.
-const NO_NODE: u32 = u32::MAX;
+const EMPTY: u32 = u32::MAX;
 
 /// A node that can be ranked.
 pub trait Rankable: Copy {
@@ -25,16 +25,16 @@
 
 /// A rank that has changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Moved {
+pub struct RankChange {
     /// The subject, as numbered by [`RankTable::add_subject`].
     pub subject: usize,
     /// The first place that changed in the zone's rank, from 0.
-    pub place: usize,
+    pub position: usize,
 }
 
 /// A node and where it stands.
 #[derive(Debug, Clone, Copy)]
-struct HeldNode<N> {
+struct NodeEntry<N> {
     node: N,
     zone: u32,
     /// Its index among the zone's nodes.
@@ -47,30 +47,30 @@
     zone: Z,
     /// Slots of the zone's nodes.
     nodes: Vec<u32>,
-    /// For each subject `places` slots, best first, filled up with [`NO_NODE`].
+    /// For each subject `ranks_per_zone` slots, best first, filled up with [`EMPTY`].
     ranked: Vec<u32>,
 }
 
 /// The first ranks of each zone, for many subjects.
 #[derive(Debug, Clone)]
 pub struct RankTable<N, Z> {
-    places: usize,
+    ranks_per_zone: usize,
     subjects: Vec<u64>,
-    slots: Vec<HeldNode<N>>,
-    free: Vec<u32>,
-    slot_of: HashMap<NodeKey, u32>,
+    slots: Vec<NodeEntry<N>>,
+    free_slots: Vec<u32>,
+    slot_by_key: HashMap<NodeKey, u32>,
     zones: Vec<ZoneRanks<Z>>,
 }
 
 impl<N: Rankable, Z: Clone + Eq> RankTable<N, Z> {
     /// A table without nodes and subjects that holds so many places of each zone.
-    pub fn new(places: usize) -> Self {
+    pub fn new(ranks_per_zone: usize) -> Self {
         RankTable {
-            places,
+            ranks_per_zone,
             subjects: Vec::new(),
             slots: Vec::new(),
-            free: Vec::new(),
-            slot_of: HashMap::new(),
+            free_slots: Vec::new(),
+            slot_by_key: HashMap::new(),
             zones: Vec::new(),
         }
     }
@@ -80,53 +80,56 @@
         let subject = self.subjects.len();
         self.subjects.push(digest);
         for zone in 0..self.zones.len() {
-            let length = self.subjects.len() * self.places;
-            self.zones[zone].ranked.resize(length, NO_NODE);
+            let length = self.subjects.len() * self.ranks_per_zone;
+            self.zones[zone].ranked.resize(length, EMPTY);
             for index in 0..self.zones[zone].nodes.len() {
-                self.offer(zone, subject, self.zones[zone].nodes[index]);
+                self.insert_ranked(zone, subject, self.zones[zone].nodes[index]);
             }
         }
         subject
     }
 
     /// Adds a node, unless one of its key is known; gives the ranks into which it has come.
-    pub fn add(&mut self, zone: &Z, node: N) -> Vec<Moved> {
-        if self.slot_of.contains_key(&node.key()) {
+    pub fn add(&mut self, zone: &Z, node: N) -> Vec<RankChange> {
+        if self.slot_by_key.contains_key(&node.key()) {
             return Vec::new();
         }
         let zone = self.zone_index(zone);
-        let slot = self.take_slot(zone, node);
-        self.moved(|table, subject| table.offer(zone, subject, slot))
+        let slot = self.allocate_slot(zone, node);
+        self.update_subjects(|table, subject| table.insert_ranked(zone, subject, slot))
     }
 
     /// Takes a node out; gives the ranks that it has left.
-    pub fn remove(&mut self, key: NodeKey) -> Vec<Moved> {
-        let Some(slot) = self.slot_of.remove(&key) else {
+    pub fn remove(&mut self, key: NodeKey) -> Vec<RankChange> {
+        let Some(slot) = self.slot_by_key.remove(&key) else {
             return Vec::new();
         };
         let zone = self.slots[slot as usize].zone as usize;
-        self.leave_slot(slot);
-        self.moved(|table, subject| table.vacate(zone, subject, slot))
+        self.release_slot(slot);
+        self.update_subjects(|table, subject| table.remove_ranked(zone, subject, slot))
     }
 
-    fn moved(&mut self, mut change: impl FnMut(&mut Self, usize) -> Option<usize>) -> Vec<Moved> {
-        let mut moved = Vec::new();
+    fn update_subjects(
+        &mut self,
+        mut change: impl FnMut(&mut Self, usize) -> Option<usize>,
+    ) -> Vec<RankChange> {
+        let mut changes = Vec::new();
         for subject in 0..self.subjects.len() {
-            if let Some(place) = change(self, subject) {
-                moved.push(Moved { subject, place });
+            if let Some(position) = change(self, subject) {
+                changes.push(RankChange { subject, position });
             }
         }
-        moved
+        changes
     }
 
     /// Whether a node is known.
     pub fn contains(&self, key: NodeKey) -> bool {
-        self.slot_of.contains_key(&key)
+        self.slot_by_key.contains_key(&key)
     }
 
     /// How many nodes there are.
     pub fn node_count(&self) -> usize {
-        self.slot_of.len()
+        self.slot_by_key.len()
     }
 
     /// How many zones have nodes.
@@ -136,18 +139,18 @@
     }
 
     /// The zones that have nodes, in no order, each with the places held of a subject, best first.
-    pub fn ranked(&self, subject: usize) -> impl Iterator<Item = (&Z, Vec<N>)> {
+    pub fn ranked_nodes(&self, subject: usize) -> impl Iterator<Item = (&Z, Vec<N>)> {
         let zones = self.zones.iter().filter(|zone| !zone.nodes.is_empty());
         zones.map(move |zone| {
-            let held = self.row(zone, subject).iter();
-            let held = held.filter(|slot| **slot != NO_NODE);
-            let nodes = held.map(|slot| self.slots[*slot as usize].node);
+            let slots = self.row(zone, subject).iter();
+            let slots = slots.filter(|slot| **slot != EMPTY);
+            let nodes = slots.map(|slot| self.slots[*slot as usize].node);
             (&zone.zone, nodes.collect())
         })
     }
 
     /// The zones that have nodes, in no order, each with all of them, in no order.
-    pub fn zone_nodes(&self) -> impl Iterator<Item = (&Z, impl Iterator<Item = N>)> {
+    pub fn nodes_by_zone(&self) -> impl Iterator<Item = (&Z, impl Iterator<Item = N>)> {
         let zones = self.zones.iter().filter(|zone| !zone.nodes.is_empty());
         zones.map(|zone| {
             let nodes = zone.nodes.iter();
@@ -159,8 +162,8 @@
     }
 
     /// Whether a node holds one of the places of a subject.
-    pub fn holds_place(&self, subject: usize, key: NodeKey) -> bool {
-        let Some(slot) = self.slot_of.get(&key) else {
+    pub fn is_ranked(&self, subject: usize, key: NodeKey) -> bool {
+        let Some(slot) = self.slot_by_key.get(&key) else {
             return false;
         };
         let zone = self.slots[*slot as usize].zone as usize;
@@ -169,13 +172,13 @@
 
     /// The bytes that the table holds.
     pub fn memory_bytes(&self) -> usize {
-        let slot_of = self.slot_of.capacity() * (size_of::<(NodeKey, u32)>() + 1) * 8 / 7;
+        let slot_by_key = self.slot_by_key.capacity() * (size_of::<(NodeKey, u32)>() + 1) * 8 / 7;
         let zones = self.zones.iter();
         let zones = zones.map(|zone| zone.nodes.capacity() + zone.ranked.capacity());
         zones.sum::<usize>() * size_of::<u32>()
-            + slot_of
+            + slot_by_key
             + self.subjects.capacity() * size_of::<u64>()
-            + self.slots.capacity() * size_of::<HeldNode<N>>()
+            + self.slots.capacity() * size_of::<NodeEntry<N>>()
     }
 
     fn zone_index(&mut self, name: &Z) -> usize {
@@ -184,89 +187,89 @@
             self.zones.push(ZoneRanks {
                 zone: name.clone(),
                 nodes: Vec::new(),
-                ranked: vec![NO_NODE; self.subjects.len() * self.places],
+                ranked: vec![EMPTY; self.subjects.len() * self.ranks_per_zone],
             });
             self.zones.len() - 1
         })
     }
 
-    fn take_slot(&mut self, zone: usize, node: N) -> u32 {
+    fn allocate_slot(&mut self, zone: usize, node: N) -> u32 {
         let nodes = &mut self.zones[zone].nodes;
-        let held = HeldNode {
+        let entry = NodeEntry {
             node,
             zone: zone as u32,
             index: nodes.len() as u32,
         };
-        let slot = match self.free.pop() {
+        let slot = match self.free_slots.pop() {
             Some(slot) => {
-                self.slots[slot as usize] = held;
+                self.slots[slot as usize] = entry;
                 slot
             }
             None => {
-                self.slots.push(held);
+                self.slots.push(entry);
                 (self.slots.len() - 1) as u32
             }
         };
         nodes.push(slot);
-        self.slot_of.insert(node.key(), slot);
+        self.slot_by_key.insert(node.key(), slot);
         slot
     }
 
-    fn leave_slot(&mut self, slot: u32) {
-        let held = &self.slots[slot as usize];
-        let (zone, index) = (held.zone as usize, held.index);
+    fn release_slot(&mut self, slot: u32) {
+        let entry = &self.slots[slot as usize];
+        let (zone, index) = (entry.zone as usize, entry.index);
         let nodes = &mut self.zones[zone].nodes;
         nodes.swap_remove(index as usize);
         if let Some(swapped) = nodes.get(index as usize) {
             self.slots[*swapped as usize].index = index;
         }
-        self.free.push(slot);
+        self.free_slots.push(slot);
     }
 
     fn row<'a>(&self, zone: &'a ZoneRanks<Z>, subject: usize) -> &'a [u32] {
-        let start = subject * self.places;
-        &zone.ranked[start..start + self.places]
+        let start = subject * self.ranks_per_zone;
+        &zone.ranked[start..start + self.ranks_per_zone]
     }
 
     fn row_mut(&mut self, zone: usize, subject: usize) -> &mut [u32] {
-        let start = subject * self.places;
-        &mut self.zones[zone].ranked[start..start + self.places]
+        let start = subject * self.ranks_per_zone;
+        &mut self.zones[zone].ranked[start..start + self.ranks_per_zone]
     }
 
     /// The score by which places are compared; an empty place is below every node.
     fn score(&self, subject: usize, slot: u32) -> Option<N::Score> {
-        let held = self.slots.get(slot as usize)?;
-        Some(held.node.score(self.subjects[subject]))
+        let entry = self.slots.get(slot as usize)?;
+        Some(entry.node.score(self.subjects[subject]))
     }
 
     /// Puts a new node into a subject's rank if it belongs there; gives its place.
-    fn offer(&mut self, zone: usize, subject: usize, slot: u32) -> Option<usize> {
+    fn insert_ranked(&mut self, zone: usize, subject: usize, slot: u32) -> Option<usize> {
         let score = self.score(subject, slot);
         let row = self.row(&self.zones[zone], subject);
-        let place = (0..row.len())
+        let position = (0..row.len())
             .rev()
-            .take_while(|place| score > self.score(subject, row[*place]))
+            .take_while(|position| score > self.score(subject, row[*position]))
             .last()?;
         let row = self.row_mut(zone, subject);
-        row[place..].rotate_right(1);
-        row[place] = slot;
-        Some(place)
+        row[position..].rotate_right(1);
+        row[position] = slot;
+        Some(position)
     }
 
     /// Takes a node out of a subject's rank and fills the last place with the next best; gives the
     /// place that it held.
-    fn vacate(&mut self, zone: usize, subject: usize, slot: u32) -> Option<usize> {
+    fn remove_ranked(&mut self, zone: usize, subject: usize, slot: u32) -> Option<usize> {
         let row = self.row(&self.zones[zone], subject);
-        let place = row.iter().position(|held| *held == slot)?;
+        let position = row.iter().position(|other| *other == slot)?;
         let others = self.zones[zone].nodes.iter().copied();
         let next = others
             .filter(|node| !row.contains(node))
             .max_by_key(|node| self.score(subject, *node))
-            .unwrap_or(NO_NODE);
-        let last = self.places - 1;
+            .unwrap_or(EMPTY);
+        let last = self.ranks_per_zone - 1;
         let row = self.row_mut(zone, subject);
-        row[place..].rotate_left(1);
+        row[position..].rotate_left(1);
         row[last] = next;
-        Some(place)
+        Some(position)
     }
 }
--- a/crates/spurpier-core/src/retry.rs
+++ b/crates/spurpier-core/src/retry.rs
@@ -33,9 +33,9 @@
 pub struct RetryBudget {
     settings: RetryBudgetSettings,
     /// What is saved, in hundredths of a retry.
-    saved: u64,
+    balance: u64,
     /// Until when the earnings of time have been counted.
-    counted_until: Timestamp,
+    time_counted_until: Timestamp,
 }
 
 impl RetryBudget {
@@ -43,42 +43,42 @@
     pub fn new(settings: RetryBudgetSettings, now: Timestamp) -> Self {
         RetryBudget {
             settings,
-            saved: u64::from(settings.burst) * RETRY_COST,
-            counted_until: now,
+            balance: u64::from(settings.burst) * RETRY_COST,
+            time_counted_until: now,
         }
     }
 
-    fn earn(&mut self, hundredths: u64) {
+    fn deposit(&mut self, hundredths: u64) {
         let full = u64::from(self.settings.burst) * RETRY_COST;
-        self.saved = self.saved.saturating_add(hundredths).min(full);
+        self.balance = self.balance.saturating_add(hundredths).min(full);
     }
 
-    fn earn_by_time(&mut self, now: Timestamp) {
+    fn deposit_for_time(&mut self, now: Timestamp) {
         let per_second = u64::from(self.settings.per_second) * RETRY_COST;
         if per_second == 0 {
             return;
         }
-        let elapsed = now.since(self.counted_until);
+        let elapsed = now.since(self.time_counted_until);
         let micros = u64::try_from(elapsed.as_micros()).unwrap_or(u64::MAX);
         let hundredths = micros.saturating_mul(per_second) / 1_000_000;
         if hundredths > 0 {
-            self.earn(hundredths);
-            self.counted_until = now;
+            self.deposit(hundredths);
+            self.time_counted_until = now;
         }
     }
 
     /// Notes a first attempt, which earns a part of a retry.
     pub fn record_attempt(&mut self) {
-        self.earn(u64::from(self.settings.percent));
+        self.deposit(u64::from(self.settings.percent));
     }
 
     /// Takes one retry out of the budget; false when it is spent.
     pub fn try_retry(&mut self, now: Timestamp) -> bool {
-        self.earn_by_time(now);
-        if self.saved < RETRY_COST {
+        self.deposit_for_time(now);
+        if self.balance < RETRY_COST {
             return false;
         }
-        self.saved -= RETRY_COST;
+        self.balance -= RETRY_COST;
         true
     }
 }
@@ -86,17 +86,17 @@
 /// Pauses between attempts that double up to a limit, with full jitter.
 #[derive(Debug, Clone)]
 pub struct Backoff {
-    first: Duration,
-    limit: Duration,
+    initial: Duration,
+    maximum: Duration,
     failures: u32,
 }
 
 impl Backoff {
-    /// Pauses that start at up to `first` and grow to up to `limit`.
-    pub fn new(first: Duration, limit: Duration) -> Self {
+    /// Pauses that start at up to `initial` and grow to up to `maximum`.
+    pub fn new(initial: Duration, maximum: Duration) -> Self {
         Backoff {
-            first,
-            limit,
+            initial,
+            maximum,
             failures: 0,
         }
     }
@@ -109,11 +109,11 @@
     /// The next pause: a random share of the present limit, at least half of it.
     ///
     /// `random` is uniform over all values of its type.
-    pub fn next_pause(&mut self, random: u32) -> Duration {
+    pub fn next_delay(&mut self, random: u32) -> Duration {
         let factor = 1_u32.checked_shl(self.failures).unwrap_or(u32::MAX);
-        let present = self.first.saturating_mul(factor).min(self.limit);
+        let ceiling = self.initial.saturating_mul(factor).min(self.maximum);
         self.failures = self.failures.saturating_add(1);
-        jittered(present, random)
+        jittered(ceiling, random)
     }
 }
 
--- a/crates/spurpier-core/src/routing.rs
+++ b/crates/spurpier-core/src/routing.rs
@@ -53,12 +53,12 @@
     ///
     /// A slot is free again within a statement, sooner than another zone answers, so a taken
     /// slot alone is no reason to leave a server.
-    fn is_backed_up(&self) -> bool {
+    fn has_long_queue(&self) -> bool {
         self.waiting > self.slots
     }
 
     /// Units in front of a new one for each slot, scaled so that whole numbers compare.
-    fn pressure(&self) -> usize {
+    fn load_per_slot(&self) -> usize {
         (self.running + self.waiting) * 100 / self.slots.max(1)
     }
 }
@@ -77,7 +77,7 @@
 /// Chooses the primary, unless it is about to stop.
 pub fn route_write(view: &GroupView, now: Timestamp) -> Route {
     match view.primary() {
-        Some(index) if view.servers[index].takes_work(now) => Route::Server(index),
+        Some(index) if view.servers[index].accepts_work(now) => Route::Server(index),
         _ => Route::AwaitPrimary,
     }
 }
@@ -103,7 +103,7 @@
         observed.map(|observed| observed.status.received)
     };
     let to = (0..view.servers.len())
-        .filter(|index| *index != from && view.servers[*index].takes_work(now))
+        .filter(|index| *index != from && view.servers[*index].accepts_work(now))
         .max_by_key(received)?;
     Some(PlannedTransfer { from, to })
 }
@@ -128,11 +128,13 @@
     let replicas = (0..view.servers.len())
         .filter(|index| Some(*index) != primary)
         .filter(|index| can_serve(view, *index, demand, now));
-    let replica = replicas.min_by_key(|index| preference(view, loads, *index, zone));
+    let replica = replicas.min_by_key(|index| replica_preference(view, loads, *index, zone));
     match (replica, primary_usable) {
-        (Some(replica), Some(primary)) => Route::Server(less_pressed(loads, replica, primary)),
+        (Some(replica), Some(primary)) => {
+            Route::Server(replica_or_free_primary(loads, replica, primary))
+        }
         (Some(replica), None) => Route::Server(replica),
-        (None, _) if replica_expected(view, primary, loads, replica_wait, now) => {
+        (None, _) if replica_catches_up_in_time(view, primary, loads, replica_wait, now) => {
             Route::AwaitReplica
         }
         (None, Some(primary)) => Route::Server(primary),
@@ -144,36 +146,36 @@
 fn can_serve(view: &GroupView, index: usize, demand: &ReadDemand, now: Timestamp) -> bool {
     let server = &view.servers[index];
     let newest_term = view.newest_term();
-    let met = server
+    let requirements_met = server
         .observed
         .as_ref()
         .is_some_and(|observed| demand.is_met_by(&observed.status, newest_term));
-    met && server.takes_work(now)
+    requirements_met && server.accepts_work(now)
 }
 
 /// Less is better: untried before tried, a short queue, the node's own zone, then less pressure.
-fn preference(
+fn replica_preference(
     view: &GroupView,
     loads: &[ServerLoad],
     index: usize,
     zone: &ZoneName,
 ) -> (bool, bool, bool, usize) {
     let load = loads.get(index).copied().unwrap_or_default();
-    let elsewhere = view.servers[index].zone != *zone;
+    let in_other_zone = view.servers[index].zone != *zone;
     (
         load.avoided,
-        load.is_backed_up(),
-        elsewhere,
-        load.pressure(),
+        load.has_long_queue(),
+        in_other_zone,
+        load.load_per_slot(),
     )
 }
 
 /// The replica, unless its queue is long and the primary has a free slot.
-fn less_pressed(loads: &[ServerLoad], replica: usize, primary: usize) -> usize {
+fn replica_or_free_primary(loads: &[ServerLoad], replica: usize, primary: usize) -> usize {
     let load = |index: usize| loads.get(index).copied().unwrap_or_default();
-    let replica_held_up = load(replica).avoided || load(replica).is_backed_up();
+    let replica_overloaded = load(replica).avoided || load(replica).has_long_queue();
     let primary_free = load(primary).has_free_slot() && !load(primary).avoided;
-    if replica_held_up && primary_free {
+    if replica_overloaded && primary_free {
         primary
     } else {
         replica
@@ -181,7 +183,7 @@
 }
 
 /// Whether some replica lags less than the read may wait.
-fn replica_expected(
+fn replica_catches_up_in_time(
     view: &GroupView,
     primary: Option<usize>,
     loads: &[ServerLoad],
@@ -192,7 +194,7 @@
         .iter()
         .enumerate()
         .filter(|(index, _)| Some(*index) != primary)
-        .filter(|(_, server)| server.takes_work(now))
+        .filter(|(_, server)| server.accepts_work(now))
         .filter_map(|(index, _)| loads.get(index))
         .any(|load| load.lag < replica_wait)
 }
--- a/crates/spurpier-core/src/store_version.rs
+++ b/crates/spurpier-core/src/store_version.rs
@@ -11,7 +11,7 @@
 
 impl StoreEra {
     /// The era of a store that does not tell of any.
-    pub const UNTOLD: StoreEra = StoreEra(0);
+    pub const UNREPORTED: StoreEra = StoreEra(0);
 
     /// The era of a number; none if it is too great.
     pub fn new(number: u64) -> Option<Self> {
@@ -64,7 +64,7 @@
     }
 
     /// What a condition names for a row that was not there as of this version.
-    pub const fn absence(self) -> Self {
+    pub const fn for_absent_row(self) -> Self {
         StoreVersion(self.0 & !NUMBER_MASK)
     }
 
@@ -83,23 +83,23 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Continuity {
     /// It tells all that has changed since the version that was asked after.
-    Continues,
+    Complete,
     /// It is of a later era than the version that was asked after, whose number was given out again:
     /// what changed below it is not told.
-    Broken,
+    EraChanged,
     /// It is of an era before the latest one that is known.
-    Former,
+    StaleEra,
 }
 
 /// How the changes that were told as of a version stand to the version that was asked after, where
 /// `latest` is the latest era that is known. [`StoreVersion::NONE`] asks for all changes ever.
-pub fn continuity(after: StoreVersion, told: StoreVersion, latest: StoreEra) -> Continuity {
-    if told.era() < latest {
-        Continuity::Former
-    } else if after != StoreVersion::NONE && after.era() != told.era() {
-        Continuity::Broken
+pub fn continuity(after: StoreVersion, reported: StoreVersion, latest: StoreEra) -> Continuity {
+    if reported.era() < latest {
+        Continuity::StaleEra
+    } else if after != StoreVersion::NONE && after.era() != reported.era() {
+        Continuity::EraChanged
     } else {
-        Continuity::Continues
+        Continuity::Complete
     }
 }
 
--- a/crates/spurpier-core/src/time.rs
+++ b/crates/spurpier-core/src/time.rs
@@ -29,7 +29,7 @@
     }
 
     /// The point that lies `duration` earlier; the origin if that is later.
-    pub fn before(self, duration: Duration) -> Timestamp {
+    pub fn saturating_sub(self, duration: Duration) -> Timestamp {
         let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         Timestamp(self.0.saturating_sub(micros))
     }
--- a/crates/spurpier-core/src/wire.rs
+++ b/crates/spurpier-core/src/wire.rs
@@ -70,17 +70,17 @@
     if length > left {
         return Err(DeBinErr::new(*offset, length, left));
     }
-    let piece = &bytes[*offset..*offset + length];
-    let text = std::str::from_utf8(piece).map_err(|_| DeBinErr::new(*offset, length, left))?;
+    let payload = &bytes[*offset..*offset + length];
+    let text = std::str::from_utf8(payload).map_err(|_| DeBinErr::new(*offset, length, left))?;
     *offset += length;
     Ok(text)
 }
 
 /// Appends bytes with a length of four bytes.
-pub fn encode_bytes(piece: &[u8], output: &mut Vec<u8>) {
-    let length = u32::try_from(piece.len()).unwrap_or(u32::MAX);
+pub fn encode_bytes(payload: &[u8], output: &mut Vec<u8>) {
+    let length = u32::try_from(payload.len()).unwrap_or(u32::MAX);
     length.ser_bin(output);
-    output.extend_from_slice(&piece[..length as usize]);
+    output.extend_from_slice(&payload[..length as usize]);
 }
 
 /// Reads bytes that [`encode_bytes`] wrote.
@@ -94,9 +94,9 @@
     if length > left {
         return Err(DeBinErr::new(*offset, length, left));
     }
-    let piece = &bytes[*offset..*offset + length];
+    let payload = &bytes[*offset..*offset + length];
     *offset += length;
-    Ok(piece)
+    Ok(payload)
 }
 
 /// Appends a text with a length of four bytes, for texts that must not be cut.
@@ -111,8 +111,8 @@
 /// Fails when the bytes end early or are no UTF-8.
 pub fn decode_long_text<'a>(offset: &mut usize, bytes: &'a [u8]) -> Result<&'a str, DeBinErr> {
     let start = *offset;
-    let piece = decode_bytes(offset, bytes)?;
-    std::str::from_utf8(piece).map_err(|_| DeBinErr::new(start, piece.len(), bytes.len()))
+    let payload = decode_bytes(offset, bytes)?;
+    std::str::from_utf8(payload).map_err(|_| DeBinErr::new(start, payload.len(), bytes.len()))
 }
 
 /// A text that is encoded by [`encode_long_text`].
--- a/crates/spurpier-core/tests/commit.rs
+++ b/crates/spurpier-core/tests/commit.rs
@@ -23,7 +23,7 @@
         name: ServerName::from(format!("server-{number}")),
         zone: ZoneName::from("zone"),
         observed: Some(ObservedStatus {
-            asked_at: asked,
+            requested_at: asked,
             status: ServerStatus {
                 vote_term: position.term,
                 received: position,
--- a/crates/spurpier-core/tests/handover.rs
+++ b/crates/spurpier-core/tests/handover.rs
@@ -19,7 +19,7 @@
             name: ServerName::from(format!("s{index}")),
             zone: ZoneName::from("zone"),
             observed: Some(ObservedStatus {
-                asked_at: Timestamp::from_millis(1),
+                requested_at: Timestamp::from_millis(1),
                 status: ServerStatus {
                     vote_term: received.term,
                     received: held,
@@ -51,71 +51,77 @@
 }
 
 #[test]
-fn a_move_goes_on_only_once_each_step_is_confirmed() {
+fn a_handover_advances_only_after_each_step_is_confirmed() {
     let mut handover = Handover::new(EPOCH);
     assert_eq!(handover.action(), HandoverAction::ReadFence);
-    let action = handover.step_with(&fence(0, true));
+    let action = handover.handle_event(&fence(0, true));
     assert_eq!(action, HandoverAction::RaiseFence(EPOCH));
 
     let raised = Position::new(2, 10);
-    let action = handover.step_with(&HandoverEvent::FenceRaised(raised));
-    assert_eq!(action, HandoverAction::ProbeOldSide);
+    let action = handover.handle_event(&HandoverEvent::FenceRaised(raised));
+    assert_eq!(action, HandoverAction::ProbeSource);
     let alone = view(raised, 1, Position::ZERO);
-    assert_eq!(handover.step_with(&HandoverEvent::OldSide(&alone)), action);
+    assert_eq!(
+        handover.handle_event(&HandoverEvent::SourceView(&alone)),
+        action
+    );
     let majority = view(raised, 2, Position::ZERO);
-    let action = handover.step_with(&HandoverEvent::OldSide(&majority));
-    assert_eq!(action, HandoverAction::ProbeNewSide);
+    let action = handover.handle_event(&HandoverEvent::SourceView(&majority));
+    assert_eq!(action, HandoverAction::ProbeTarget);
 
     let applied = Position::new(1, 7);
     let behind = view(applied, 3, Position::new(2, 9));
-    assert_eq!(handover.step_with(&HandoverEvent::NewSide(&behind)), action);
+    assert_eq!(
+        handover.handle_event(&HandoverEvent::TargetView(&behind)),
+        action
+    );
     let unconfirmed = view(applied, 1, raised);
     assert_eq!(
-        handover.step_with(&HandoverEvent::NewSide(&unconfirmed)),
+        handover.handle_event(&HandoverEvent::TargetView(&unconfirmed)),
         action
     );
-    let level = view(applied, 2, raised);
-    let action = handover.step_with(&HandoverEvent::NewSide(&level));
+    let caught_up = view(applied, 2, raised);
+    let action = handover.handle_event(&HandoverEvent::TargetView(&caught_up));
     assert_eq!(action, HandoverAction::OpenFence(EPOCH));
 
     let opened = Position::new(1, 8);
-    handover.step_with(&HandoverEvent::FenceOpened(opened));
+    handover.handle_event(&HandoverEvent::FenceOpened(opened));
     let alone = view(opened, 1, raised);
-    handover.step_with(&HandoverEvent::NewSide(&alone));
+    handover.handle_event(&HandoverEvent::TargetView(&alone));
     assert_eq!(handover.step(), HandoverStep::ConfirmingOpen(opened));
     let majority = view(opened, 2, raised);
-    let action = handover.step_with(&HandoverEvent::NewSide(&majority));
+    let action = handover.handle_event(&HandoverEvent::TargetView(&majority));
     assert_eq!(action, HandoverAction::Done);
 }
 
 #[test]
-fn a_move_that_was_made_before_is_only_confirmed() {
+fn a_completed_handover_is_only_confirmed() {
     let mut handover = Handover::new(EPOCH);
-    let action = handover.step_with(&fence(EPOCH, true));
-    assert_eq!(action, HandoverAction::ProbeNewSide);
+    let action = handover.handle_event(&fence(EPOCH, true));
+    assert_eq!(action, HandoverAction::ProbeTarget);
     let confirmed = view(Position::new(1, 5), 2, Position::ZERO);
-    let action = handover.step_with(&HandoverEvent::NewSide(&confirmed));
+    let action = handover.handle_event(&HandoverEvent::TargetView(&confirmed));
     assert_eq!(action, HandoverAction::Done);
 }
 
 #[test]
-fn a_newer_epoch_overtakes_a_move() {
+fn a_newer_epoch_supersedes_a_handover() {
     let mut handover = Handover::new(EPOCH);
-    let action = handover.step_with(&fence(EPOCH + 1, false));
+    let action = handover.handle_event(&fence(EPOCH + 1, false));
     assert_eq!(action, HandoverAction::Overtaken);
 
     let mut handover = Handover::new(EPOCH);
-    handover.step_with(&fence(0, true));
-    let action = handover.step_with(&HandoverEvent::FenceConflict);
+    handover.handle_event(&fence(0, true));
+    let action = handover.handle_event(&HandoverEvent::FenceConflict);
     assert_eq!(action, HandoverAction::Overtaken);
 }
 
 #[test]
-fn a_raise_on_a_replaced_primary_is_made_again() {
+fn the_fence_is_raised_again_after_the_primary_is_replaced() {
     let mut handover = Handover::new(EPOCH);
-    handover.step_with(&fence(0, true));
-    handover.step_with(&HandoverEvent::FenceRaised(Position::new(2, 10)));
+    handover.handle_event(&fence(0, true));
+    handover.handle_event(&HandoverEvent::FenceRaised(Position::new(2, 10)));
     let newer = view(Position::new(3, 10), 2, Position::ZERO);
-    let action = handover.step_with(&HandoverEvent::OldSide(&newer));
+    let action = handover.handle_event(&HandoverEvent::SourceView(&newer));
     assert_eq!(action, HandoverAction::RaiseFence(EPOCH));
 }
--- a/crates/spurpier-core/tests/homes.rs
+++ b/crates/spurpier-core/tests/homes.rs
@@ -41,7 +41,7 @@
 
 proptest! {
     #[test]
-    fn following_changes_gives_the_same_as_computing_anew(
+    fn incremental_updates_match_recomputation(
         changes in prop::collection::vec((0u16..12, any::<bool>()), 0..40),
         per_zone in 0usize..4,
     ) {
@@ -56,11 +56,11 @@
                 live.remove(&number);
             }
         }
-        let mut fresh = HomeTable::new(databases(), per_zone);
+        let mut recomputed = HomeTable::new(databases(), per_zone);
         for number in live.keys().rev() {
-            fresh.add(&identity(*number));
+            recomputed.add(&identity(*number));
         }
-        prop_assert_eq!(all_homes(&table), all_homes(&fresh));
+        prop_assert_eq!(all_homes(&table), all_homes(&recomputed));
     }
 
     #[test]
@@ -69,18 +69,18 @@
         message_bytes in 1usize..2_000,
         budget in 1usize..10_000,
     ) {
-        let least = Duration::from_millis(100);
-        let interval = budgeted_interval(least, messages, message_bytes, budget);
-        prop_assert!(interval >= least);
+        let minimum = Duration::from_millis(100);
+        let interval = budgeted_interval(minimum, messages, message_bytes, budget);
+        prop_assert!(interval >= minimum);
         let rate = (messages * message_bytes) as f64 / interval.as_secs_f64();
         prop_assert!(rate <= budget as f64 * 1.001);
-        if interval > least {
+        if interval > minimum {
             prop_assert!(rate >= budget as f64 * 0.999);
         }
     }
 
     #[test]
-    fn a_node_that_joins_takes_homes_but_moves_none_between_others(
+    fn a_joining_node_moves_no_homes_between_other_nodes(
         nodes in prop::collection::btree_set(0u16..30, 4..20),
         joining in 30u16..60,
     ) {
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn each_zone_has_as_many_homes_as_asked_and_one_is_the_first() {
+fn each_zone_has_the_configured_number_of_homes_and_one_home_is_first() {
     let mut table = HomeTable::new(databases(), 2);
     for number in 0..12 {
         table.add(&identity(number));
@@ -117,15 +117,15 @@
         assert!(homes.zones.iter().all(|zone| zone.nodes.len() == 2));
         let first = homes.first.expect("there are homes");
         assert!(homes.contains(first));
-        let firsts = (0..12)
+        let first_homes = (0..12)
             .filter(|number| table.is_first_home(database, identity(*number).key()))
             .count();
-        assert_eq!(firsts, 1);
+        assert_eq!(first_homes, 1);
     }
 }
 
 #[test]
-fn with_zero_homes_a_zone_every_node_is_a_home() {
+fn every_node_is_a_home_with_zero_homes_per_zone() {
     let mut table = HomeTable::new(databases(), 0);
     for number in 0..7 {
         table.add(&identity(number));
--- a/crates/spurpier-core/tests/lead.rs
+++ b/crates/spurpier-core/tests/lead.rs
@@ -371,9 +371,9 @@
 
 #[test]
 fn each_decision_has_a_higher_token() {
-    let first = DutyRow::next(None, "a", StoreEra::UNTOLD);
-    let second = DutyRow::next(Some(&first), "a", StoreEra::UNTOLD);
-    let third = DutyRow::next(Some(&second), "b", StoreEra::UNTOLD);
+    let first = DutyRow::next(None, "a", StoreEra::UNREPORTED);
+    let second = DutyRow::next(Some(&first), "a", StoreEra::UNREPORTED);
+    let third = DutyRow::next(Some(&second), "b", StoreEra::UNREPORTED);
     assert_eq!((first.token, second.token, third.token), (1, 2, 3));
     assert_eq!(third.holder, "b");
 }
--- a/crates/spurpier-core/tests/lease.rs
+++ b/crates/spurpier-core/tests/lease.rs
@@ -181,7 +181,7 @@
     let mut round = round(&["b", "c"]);
     round.note_yielded("b", 7);
     let end = STORED + LEASE + LEASE_MARGIN;
-    let before = end.before(Duration::from_millis(1));
+    let before = end.saturating_sub(Duration::from_millis(1));
     assert_eq!(round.state(7, before), RoundState::Await);
     assert_eq!(round.state(7, end), RoundState::Verify);
 }
--- a/crates/spurpier-core/tests/lease_model/mod.rs
+++ b/crates/spurpier-core/tests/lease_model/mod.rs
@@ -165,7 +165,7 @@
     pub fn new(breakage: Breakage) -> Self {
         let now = Timestamp::from_millis(1_000_000);
         let node = Node {
-            started_at: now.before(Duration::from_millis(1)),
+            started_at: now.saturating_sub(Duration::from_millis(1)),
             told_at: Some(now),
             holders: [true; NODES],
             ..Node::default()
--- a/crates/spurpier-core/tests/model/node/handover.rs
+++ b/crates/spurpier-core/tests/model/node/handover.rs
@@ -19,8 +19,8 @@
             .filter(|known| known.epoch() == placement.epoch);
         let mut handover = known.unwrap_or_else(|| Handover::new(placement.epoch));
         let (old, new) = (state.view(Side::Old).clone(), state.view(Side::New).clone());
-        handover.step_with(&HandoverEvent::OldSide(&old));
-        let action = handover.step_with(&HandoverEvent::NewSide(&new));
+        handover.handle_event(&HandoverEvent::SourceView(&old));
+        let action = handover.handle_event(&HandoverEvent::TargetView(&new));
         state.handover = Some(handover);
         if state.handover_asked_at + HANDOVER_EVERY > self.now {
             return;
@@ -38,8 +38,8 @@
                 self.handover_ask(node, Side::New, vec![Statement::OpenFence { epoch }])
             }
             // Every node probes both sides all the time.
-            HandoverAction::ProbeOldSide
-            | HandoverAction::ProbeNewSide
+            HandoverAction::ProbeSource
+            | HandoverAction::ProbeTarget
             | HandoverAction::Done
             | HandoverAction::Overtaken => {}
         }
@@ -69,7 +69,7 @@
             return;
         };
         if let Some(event) = handover_event(side, replies) {
-            handover.step_with(&event);
+            handover.handle_event(&event);
         }
     }
 }
--- a/crates/spurpier-core/tests/model/node/mod.rs
+++ b/crates/spurpier-core/tests/model/node/mod.rs
@@ -277,7 +277,10 @@
         let now = self.now;
         let watches = self.nodes[node].watches.iter_mut();
         for server in watches.flat_map(|watch| &mut watch.view.servers) {
-            let asked_at = server.observed.as_ref().map(|observed| observed.asked_at);
+            let asked_at = server
+                .observed
+                .as_ref()
+                .map(|observed| observed.requested_at);
             server.reachable =
                 asked_at.is_some_and(|asked_at| asked_at.as_micros() + UNREACHABLE_AFTER > now);
         }
@@ -299,15 +302,15 @@
         let side = self.servers[server].side;
         let watch = &mut self.nodes[node].watches[side as usize];
         let known = &mut watch.view.servers[server % ZONES];
-        let asked_at = Timestamp::from_micros(asked_at);
+        let requested_at = Timestamp::from_micros(asked_at);
         if known
             .observed
             .as_ref()
-            .is_some_and(|observed| observed.asked_at > asked_at)
+            .is_some_and(|observed| observed.requested_at > requested_at)
         {
             return;
         }
-        known.observed = Some(ObservedStatus { asked_at, status });
+        known.observed = Some(ObservedStatus { requested_at, status });
         known.reachable = true;
         watch.history.observe(&watch.view);
         let units: Vec<u64> = self.nodes[node].units.keys().copied().collect();
--- a/crates/spurpier-core/tests/model/node/units.rs
+++ b/crates/spurpier-core/tests/model/node/units.rs
@@ -38,7 +38,7 @@
             replica_allowed: true,
         };
         let machine = write_kind(&spec).map(|kind| {
-            let starts = self.nodes[node].watch(side).history.starts().clone();
+            let starts = self.nodes[node].watch(side).history.term_starts().clone();
             CommitMachine::new(kind, now + PATIENCE, CONFIRM_TIME, starts)
         });
         let needs_index = machine.is_none() && (fresh || floor.is_none());
@@ -114,7 +114,7 @@
             }
             Stage::AwaitConfirmation { answer, status } => {
                 let skipped = self.breakage == Breakage::ReadConfirmationSkipped;
-                if skipped || view.shows_only_confirmed(&status) {
+                if skipped || view.applied_is_confirmed(&status) {
                     let floor = Some((running.side, status.applied));
                     self.finish(node, unit, Outcome::Done, floor, Some(answer));
                 }
--- a/crates/spurpier-core/tests/pool.rs
+++ b/crates/spurpier-core/tests/pool.rs
@@ -1,15 +1,15 @@
 //! The pool's counts: connections never pass the limit, and every count comes back.
 
 use proptest::prelude::*;
-use spurpier_core::pool::{LeaseDecision, PoolState};
+use spurpier_core::pool::{AcquireDecision, PoolState};
 use spurpier_core::time::Timestamp;
 
 #[derive(Debug, Clone)]
 enum Step {
-    Lease,
-    OpenAhead(usize),
-    OpenEnds { well: bool },
-    GiveBack,
+    Acquire,
+    Preopen(usize),
+    OpenFinished { succeeded: bool },
+    Release,
     Close,
     CloseIdle,
     SetLimit(usize),
@@ -17,10 +17,10 @@
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
-        4 => Just(Step::Lease),
-        1 => (0_usize..10).prop_map(Step::OpenAhead),
-        4 => any::<bool>().prop_map(|well| Step::OpenEnds { well }),
-        3 => Just(Step::GiveBack),
+        4 => Just(Step::Acquire),
+        1 => (0_usize..10).prop_map(Step::Preopen),
+        4 => any::<bool>().prop_map(|succeeded| Step::OpenFinished { succeeded }),
+        3 => Just(Step::Release),
         1 => Just(Step::Close),
         1 => Just(Step::CloseIdle),
         1 => (1_usize..10).prop_map(Step::SetLimit),
@@ -30,55 +30,55 @@
 
 proptest! {
     #[test]
-    fn connections_never_pass_the_limit(limit in 1_usize..10, steps in steps()) {
+    fn connections_never_exceed_the_limit(limit in 1_usize..10, steps in steps()) {
         let mut pool = PoolState::new(limit);
         let mut highest_limit = limit;
-        let mut leased = 0_usize;
+        let mut in_use = 0_usize;
         // Whether each connection that is being opened is for a unit.
         let mut opening: Vec<bool> = Vec::new();
         for (number, step) in steps.into_iter().enumerate() {
             let now = Timestamp::from_millis(number as u64 * 50);
             let total = pool.total();
             match step {
-                Step::Lease => match pool.lease(now) {
-                    LeaseDecision::TakeIdle => leased += 1,
-                    LeaseDecision::Open => opening.push(true),
-                    LeaseDecision::Exhausted => prop_assert!(!pool.has_room(now)),
+                Step::Acquire => match pool.acquire(now) {
+                    AcquireDecision::ReuseIdle => in_use += 1,
+                    AcquireDecision::Open => opening.push(true),
+                    AcquireDecision::Exhausted => prop_assert!(!pool.can_acquire(now)),
                 },
-                Step::OpenAhead(wanted) => {
-                    let missing = pool.open_ahead(wanted, now);
+                Step::Preopen(wanted) => {
+                    let missing = pool.preopen(wanted, now);
                     opening.extend(std::iter::repeat_n(false, missing));
                 }
-                Step::OpenEnds { well } => match (opening.pop(), well) {
+                Step::OpenFinished { succeeded } => match (opening.pop(), succeeded) {
                     (Some(true), true) => {
-                        pool.opened_for_unit();
-                        leased += 1;
+                        pool.opened_in_use();
+                        in_use += 1;
                     }
-                    (Some(false), true) => pool.opened_ahead(),
+                    (Some(false), true) => pool.opened_idle(),
                     (Some(_), false) => pool.open_failed(now),
                     (None, _) => {}
                 },
-                Step::GiveBack if leased > 0 => {
-                    leased -= 1;
-                    let kept = pool.give_back();
+                Step::Release if in_use > 0 => {
+                    in_use -= 1;
+                    let kept = pool.release();
                     prop_assert_eq!(kept, total <= pool.limit());
                 }
-                Step::Close if leased > 0 => {
-                    leased -= 1;
-                    pool.closed_leased();
+                Step::Close if in_use > 0 => {
+                    in_use -= 1;
+                    pool.closed_in_use();
                 }
                 Step::CloseIdle => pool.closed_idle(pool.idle()),
                 Step::SetLimit(limit) => {
                     pool.set_limit(limit);
                     highest_limit = highest_limit.max(limit);
                 }
-                Step::GiveBack | Step::Close => {}
+                Step::Release | Step::Close => {}
             }
             prop_assert!(pool.total() <= highest_limit);
             // Past a lowered limit no connection is added.
             prop_assert!(pool.total() <= total.max(pool.limit()));
-            prop_assert_eq!(pool.leased(), leased);
-            prop_assert_eq!(pool.total(), leased + opening.len() + pool.idle());
+            prop_assert_eq!(pool.in_use(), in_use);
+            prop_assert_eq!(pool.total(), in_use + opening.len() + pool.idle());
         }
     }
 }
--- a/crates/spurpier-core/tests/quota.rs
+++ b/crates/spurpier-core/tests/quota.rs
@@ -107,7 +107,7 @@
     let mut choice = AuthorityChoice::new(VOTE_LIFE);
     assert_eq!(choice.choose(&["n0", "n1"], asked_at), Some("n0"));
     choice.note_asked(asked_at);
-    let before = (asked_at + VOTE_LIFE).before(Duration::from_millis(1));
+    let before = (asked_at + VOTE_LIFE).saturating_sub(Duration::from_millis(1));
     assert_eq!(choice.choose(&["n1"], before), None);
     assert_eq!(choice.choose(&["n0", "n1"], before), Some("n0"));
     assert_eq!(choice.choose(&["n1"], asked_at + VOTE_LIFE), Some("n1"));
@@ -143,7 +143,7 @@
         pause: Duration::from_millis(50),
     };
     let mut ledger = Ledger::default();
-    let in_time = (asked_at + LEAVE_LIFE).before(Duration::from_millis(1));
+    let in_time = (asked_at + LEAVE_LIFE).saturating_sub(Duration::from_millis(1));
     let leaves = ledger.note_grant("t", grant, 2, asked_at, in_time);
     assert_eq!(leaves.len(), 2);
     let late = asked_at + LEAVE_LIFE;
--- a/crates/spurpier-core/tests/quota_model/mod.rs
+++ b/crates/spurpier-core/tests/quota_model/mod.rs
@@ -269,7 +269,7 @@
 
     /// What a window that ends at a moment may hold: a lower limit binds a window later.
     fn most_until(&self, end: Timestamp) -> f64 {
-        let since = end.before(BOUND.window * 2);
+        let since = end.saturating_sub(BOUND.window * 2);
         let mut most: f64 = 0.0;
         for (index, (_, rate)) in self.limits.iter().enumerate() {
             let next = self.limits.get(index + 1);
--- a/crates/spurpier-core/tests/ranks.rs
+++ b/crates/spurpier-core/tests/ranks.rs
@@ -32,7 +32,7 @@
     /// A node goes.
     Remove { number: u64 },
     /// A subject is asked for.
-    Subject,
+    AddSubject,
 }
 
 fn change() -> impl Strategy<Value = Change> {
@@ -41,22 +41,24 @@
         6 => (0u64..60, 0u64..3, weight)
             .prop_map(|(number, zone, weight)| Change::Put { number, zone, weight }),
         3 => (0u64..60).prop_map(|number| Change::Remove { number }),
-        1 => Just(Change::Subject),
+        1 => Just(Change::AddSubject),
     ]
 }
 
 /// The first places of each zone, computed from all nodes.
-fn computed_anew(
+fn recomputed(
     nodes: &BTreeMap<u64, (u64, RankedNode)>,
     subject: &str,
-    places: usize,
+    ranks_per_zone: usize,
 ) -> BTreeMap<u64, Vec<RankedNode>> {
     let mut zones: BTreeMap<u64, Vec<RankedNode>> = BTreeMap::new();
     for (zone, node) in nodes.values() {
         zones.entry(*zone).or_default().push(*node);
     }
     for members in zones.values_mut() {
-        let order = rank_homes(subject, members).into_iter().take(places);
+        let order = rank_homes(subject, members)
+            .into_iter()
+            .take(ranks_per_zone);
         *members = order.map(|index| members[index]).collect();
     }
     zones
@@ -64,41 +66,41 @@
 
 proptest! {
     #[test]
-    fn moved_ranks_are_those_that_are_computed_anew(
+    fn incremental_rankings_match_recomputation(
         changes in prop::collection::vec(change(), 0..150),
-        places in 1usize..=MOST_HOMES,
+        ranks_per_zone in 1usize..=MOST_HOMES,
     ) {
-        let mut table: RankTable<RankedNode, u64> = RankTable::new(places);
+        let mut table: RankTable<RankedNode, u64> = RankTable::new(ranks_per_zone);
         let mut nodes = BTreeMap::new();
         let mut before: Vec<BTreeMap<u64, Vec<RankedNode>>> = Vec::new();
         for change in changes {
-            let moved = match change {
+            let changed = match change {
                 Change::Put { number, zone, weight } => {
                     let newcomer = node(number, weight);
-                    let mut moved = table.remove(newcomer.key);
-                    moved.extend(table.add(&zone, newcomer));
+                    let mut changed = table.remove(newcomer.key);
+                    changed.extend(table.add(&zone, newcomer));
                     nodes.insert(number, (zone, newcomer));
-                    moved
+                    changed
                 }
                 Change::Remove { number } => {
                     nodes.remove(&number);
                     table.remove(node(number, 1.0).key)
                 }
-                Change::Subject => {
+                Change::AddSubject => {
                     let number = before.len();
                     prop_assert_eq!(table.add_subject(subject_digest(&subject(number))), number);
-                    before.push(computed_anew(&nodes, &subject(number), places));
+                    before.push(recomputed(&nodes, &subject(number), ranks_per_zone));
                     Vec::new()
                 }
             };
             for (number, before) in before.iter_mut().enumerate() {
-                let after = computed_anew(&nodes, &subject(number), places);
-                let ranked = table.ranked(number);
+                let after = recomputed(&nodes, &subject(number), ranks_per_zone);
+                let ranked = table.ranked_nodes(number);
                 let ranked: BTreeMap<u64, Vec<RankedNode>> =
                     ranked.map(|(zone, nodes)| (*zone, nodes)).collect();
                 prop_assert_eq!(&ranked, &after);
                 if *before != after {
-                    prop_assert!(moved.iter().any(|moved| moved.subject == number));
+                    prop_assert!(changed.iter().any(|changed| changed.subject == number));
                 }
                 *before = after;
             }
@@ -129,7 +131,7 @@
 }
 
 /// How often nodes are scored for one row, on average over each node's going and coming back.
-fn scored_a_row(nodes: u64) -> f64 {
+fn scores_per_change(nodes: u64) -> f64 {
     let mut table = RankTable::new(MOST_HOMES);
     for number in 0..SUBJECTS {
         table.add_subject(subject_digest(&subject(number)));
@@ -149,13 +151,13 @@
 /// A fleet of any size scores at most these nodes for one row and subject: two for a node that
 /// comes and does not rank; of those that go, 12 of a zone's nodes rank, and each makes the zone's
 /// others be scored once with one more: 12 or fewer, and as many for the place that it takes back.
-const MOST_SCORED: f64 = 24.0;
+const MAX_SCORED: f64 = 24.0;
 
 #[test]
-fn the_cost_of_one_row_does_not_grow_with_the_fleet() {
+fn the_cost_of_one_change_does_not_grow_with_the_cluster() {
     for nodes in [30, 300, 6_100] {
-        let scored = scored_a_row(nodes) / SUBJECTS as f64;
+        let scored = scores_per_change(nodes) / SUBJECTS as f64;
         println!("{nodes} nodes: {scored:.1} scored for each row and subject");
-        assert!(scored <= MOST_SCORED, "{nodes} nodes: {scored}");
+        assert!(scored <= MAX_SCORED, "{nodes} nodes: {scored}");
     }
 }
--- a/crates/spurpier-core/tests/retry.rs
+++ b/crates/spurpier-core/tests/retry.rs
@@ -13,7 +13,7 @@
 };
 
 #[test]
-fn a_spent_budget_refuses_until_it_is_earned_again() {
+fn an_exhausted_budget_refuses_until_it_refills() {
     let mut budget = RetryBudget::new(SETTINGS, Timestamp::ZERO);
     for _ in 0..SETTINGS.burst {
         assert!(budget.try_retry(Timestamp::ZERO));
@@ -33,11 +33,11 @@
     #![proptest_config(ProptestConfig { cases: 256, rng_seed: proptest::test_runner::RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn retries_stay_within_the_share(steps in prop::collection::vec((any::<bool>(), 0..20_u64), 1..500)) {
+    fn retries_stay_within_the_budget(steps in prop::collection::vec((any::<bool>(), 0..20_u64), 1..500)) {
         let mut budget = RetryBudget::new(SETTINGS, Timestamp::ZERO);
         let (mut now, mut attempts, mut retries) = (0, 0_u64, 0_u64);
-        for (is_retry, pause_ms) in steps {
-            now += pause_ms;
+        for (is_retry, elapsed_ms) in steps {
+            now += elapsed_ms;
             if is_retry {
                 retries += u64::from(budget.try_retry(Timestamp::from_millis(now)));
             } else {
@@ -50,16 +50,16 @@
     }
 
     #[test]
-    fn pauses_grow_to_their_limit(randoms in prop::collection::vec(any::<u32>(), 1..80)) {
-        let limit = Duration::from_secs(2);
-        let mut backoff = Backoff::new(Duration::from_millis(20), limit);
+    fn delays_grow_to_the_maximum(randoms in prop::collection::vec(any::<u32>(), 1..80)) {
+        let maximum = Duration::from_secs(2);
+        let mut backoff = Backoff::new(Duration::from_millis(20), maximum);
         for (failures, random) in randoms.iter().enumerate() {
-            let pause = backoff.next_pause(*random);
-            let full = Duration::from_millis(20).saturating_mul(1 << failures.min(20)).min(limit);
-            prop_assert!(pause >= full / 2 && pause <= full);
+            let delay = backoff.next_delay(*random);
+            let upper_bound = Duration::from_millis(20).saturating_mul(1 << failures.min(20)).min(maximum);
+            prop_assert!(delay >= upper_bound / 2 && delay <= upper_bound);
         }
         backoff.reset();
-        prop_assert!(backoff.next_pause(u32::MAX) <= Duration::from_millis(20));
-        prop_assert_eq!(jittered(limit, u32::MAX), limit);
+        prop_assert!(backoff.next_delay(u32::MAX) <= Duration::from_millis(20));
+        prop_assert_eq!(jittered(maximum, u32::MAX), maximum);
     }
 }
--- a/crates/spurpier-core/tests/routing.rs
+++ b/crates/spurpier-core/tests/routing.rs
@@ -32,13 +32,13 @@
         reachable in proptest::bool::weighted(0.8),
         upstream in position(),
         zone in 0_u8..3,
-        asked_at in 0_u64..3_000,
+        requested_at in 0_u64..3_000,
     ) -> ServerView {
         ServerView {
             name: ServerName::from("server"),
             zone: ZoneName::from(format!("zone-{zone}")),
             observed: Some(ObservedStatus {
-                asked_at: Timestamp::from_millis(asked_at),
+                requested_at: Timestamp::from_millis(requested_at),
                 status: ServerStatus {
                     vote_term: received.term + newer_vote,
                     received,
@@ -95,14 +95,14 @@
         if route == Route::AwaitReplica {
             prop_assert!(replica_allowed && !wait.is_zero());
         }
-        let nobody_can = view.servers.iter().all(|server| {
+        let no_server_qualifies = view.servers.iter().all(|server| {
             let status = &server.observed.as_ref().unwrap().status;
             !server.reachable
                 || server.is_leaving()
                 || !is_current(server)
                 || !demand.is_met_by(status, view.newest_term())
         });
-        prop_assert!(!nobody_can || !matches!(route, Route::Server(_)));
+        prop_assert!(!no_server_qualifies || !matches!(route, Route::Server(_)));
     }
 
     #[test]
@@ -130,17 +130,17 @@
 /// Whether the server's status still allows work.
 fn is_current(server: &ServerView) -> bool {
     let observed = server.observed.as_ref();
-    observed.is_some_and(|observed| NOW.since(observed.asked_at) < STATUS_VALIDITY)
+    observed.is_some_and(|observed| NOW.since(observed.requested_at) < STATUS_VALIDITY)
 }
 
 /// Three level servers, of which the first is the primary.
-fn level_group() -> GroupView {
+fn caught_up_group() -> GroupView {
     let position = Position::new(1, 5);
     let server = |number: usize| ServerView {
         name: ServerName::from(format!("s{number}")),
         zone: ZoneName::from(format!("zone-{number}")),
         observed: Some(ObservedStatus {
-            asked_at: NOW,
+            requested_at: NOW,
             status: ServerStatus {
                 vote_term: 1,
                 received: position,
@@ -172,7 +172,7 @@
 
 #[test]
 fn the_nearest_replica_is_preferred_until_its_queue_is_long() {
-    let view = level_group();
+    let view = caught_up_group();
     let demand = ReadDemand {
         floor: Position::new(1, 5),
         upstream_floor: Position::ZERO,
@@ -197,8 +197,8 @@
 }
 
 #[test]
-fn a_read_waits_only_for_a_replica_that_is_expected_in_time() {
-    let view = level_group();
+fn a_read_waits_only_for_a_replica_that_catches_up_in_time() {
+    let view = caught_up_group();
     let demand = ReadDemand {
         floor: Position::new(1, 5),
         upstream_floor: Position::ZERO,
--- a/crates/spurpier-pipeline/src/duty/holder.rs
+++ b/crates/spurpier-pipeline/src/duty/holder.rs
@@ -99,7 +99,7 @@
     let holder = read.rows.iter().find(|row| row.key == KEY);
     let holder = KnownDuty {
         row: holder.and_then(|row| DutyRow::deserialize_bin(&row.value).ok()),
-        version: holder.map_or(read.version.absence(), |row| row.version),
+        version: holder.map_or(read.version.for_absent_row(), |row| row.version),
     };
     if let Some(row) = &holder.row {
         context.note_duty_holder(&row.holder);
--- a/crates/spurpier-pipeline/src/duty/peers.rs
+++ b/crates/spurpier-pipeline/src/duty/peers.rs
@@ -144,7 +144,7 @@
         let group = self.context.group(&group);
         let clock = &self.context.clock;
         let asked_at = clock.now();
-        let fresh_since = asked_at.before(FRESH_PROOF);
+        let fresh_since = asked_at.saturating_sub(FRESH_PROOF);
         let until = asked_at + PROVING_LIMIT;
         // Without a proof the older one is told.
         let _ = renew_proof(&self.context, &group, fresh_since, until).await;
@@ -192,7 +192,7 @@
             let sight = Sight { proven_ago };
             if let Some(ago) = proven_ago {
                 // The answer was given after the question was sent.
-                group.note_told_proof(asked_at.before(ago), *position);
+                group.note_told_proof(asked_at.saturating_sub(ago), *position);
             }
             if relay.is_none() && sight.sees_primary() {
                 relay = Some(home.clone());
--- a/crates/spurpier-pipeline/src/follow/mod.rs
+++ b/crates/spurpier-pipeline/src/follow/mod.rs
@@ -407,12 +407,12 @@
                 let told = changes.version;
                 self.context.note_store_era(told.era(), TOLD_BY_STORE);
                 match continuity(after, told, self.context.era()) {
-                    Continuity::Continues => {}
-                    Continuity::Broken => {
+                    Continuity::Complete => {}
+                    Continuity::EraChanged => {
                         self.version = None;
                         return;
                     }
-                    Continuity::Former => {
+                    Continuity::StaleEra => {
                         return self.note_failure(StoreError::EraChanged).await;
                     }
                 }
@@ -473,7 +473,7 @@
                 error = error
             );
         }
-        let pause = self.backoff.next_pause(rand::rng().random());
+        let pause = self.backoff.next_delay(rand::rng().random());
         tokio::time::sleep(pause).await;
     }
 }
--- a/crates/spurpier-pipeline/src/homes/fleet.rs
+++ b/crates/spurpier-pipeline/src/homes/fleet.rs
@@ -10,7 +10,7 @@
 use spurpier_core::homes::subject_digest;
 use spurpier_core::lead::{MOST_HOMES, RankedNode, homes_per_zone};
 use spurpier_core::membership::NodeKey;
-use spurpier_core::ranks::{Moved, RankTable, Rankable};
+use spurpier_core::ranks::{RankChange, RankTable, Rankable};
 
 use super::chosen::{ChosenNodes, OwnPlace, PeerNode, peer_node};
 use crate::node_entry::NodeEntry;
@@ -90,11 +90,11 @@
         self.note_moved(&moved);
     }
 
-    fn note_moved(&mut self, moved: &[Moved]) {
+    fn note_moved(&mut self, moved: &[RankChange]) {
         let groups = &self.groups;
         let first = moved
             .iter()
-            .filter(|moved| moved.place < groups[moved.subject].per_zone);
+            .filter(|moved| moved.position < groups[moved.subject].per_zone);
         self.moved.extend(first.map(|moved| moved.subject));
     }
 
@@ -167,7 +167,7 @@
         let connections = self.groups[number].connections;
         let (nodes, zones) = (self.ranks.node_count(), self.ranks.zone_count());
         let per_zone = homes_per_zone(connections, nodes, zones);
-        let mut ranked: Vec<(&String, Vec<RankedNode>)> = self.ranks.ranked(number).collect();
+        let mut ranked: Vec<(&String, Vec<RankedNode>)> = self.ranks.ranked_nodes(number).collect();
         ranked.sort_unstable_by_key(|(zone, _)| *zone);
         let ranked = ranked.into_iter().flat_map(|(_, mut nodes)| {
             nodes.truncate(per_zone);
--- a/crates/spurpier-pipeline/src/homes/mod.rs
+++ b/crates/spurpier-pipeline/src/homes/mod.rs
@@ -85,7 +85,7 @@
             own_name: own_name.to_owned(),
             own: own.clone(),
             nodes: None,
-            era: StoreEra::UNTOLD,
+            era: StoreEra::UNREPORTED,
             fleet,
             watchers: None,
             authorities: HashMap::new(),
--- a/crates/spurpier-pipeline/src/known_tables.rs
+++ b/crates/spurpier-pipeline/src/known_tables.rs
@@ -71,7 +71,7 @@
     pub fn told_at(&self, asked_at: Timestamp) -> Timestamp {
         let held = Duration::from_millis(u64::from(self.held_ms));
         let age = Duration::from_millis(u64::from(self.age_ms));
-        (asked_at + held).before(age)
+        (asked_at + held).saturating_sub(age)
     }
 }
 
--- a/crates/spurpier-pipeline/src/membership.rs
+++ b/crates/spurpier-pipeline/src/membership.rs
@@ -175,7 +175,7 @@
 ) -> Option<StoreVersion> {
     let key = context.settings.node.name.clone();
     let known = context.known_tables.version(Table::Cluster);
-    let version = listing.map_or(known.absence(), |listing| listing.version);
+    let version = listing.map_or(known.for_absent_row(), |listing| listing.version);
     context.homes.note_own_write(version, &entry.leases);
     let condition = Condition {
         table: Table::Cluster,
@@ -321,7 +321,7 @@
             if stored.is_some_and(|stored| stored.token >= succession.token) {
                 continue;
             }
-            let known = row.map_or(version.absence(), |row| row.version);
+            let known = row.map_or(version.for_absent_row(), |row| row.version);
             tokio::spawn(restore_succession(
                 Arc::clone(&self.0),
                 group,
--- a/crates/spurpier-pipeline/src/node.rs
+++ b/crates/spurpier-pipeline/src/node.rs
@@ -203,7 +203,7 @@
             links,
             store_lost: AtomicBool::new(false),
             store_regained_at: Mutex::default(),
-            store_era: watch::Sender::new(StoreEra::UNTOLD),
+            store_era: watch::Sender::new(StoreEra::UNREPORTED),
             directory_known: watch::Sender::new(false),
             holds_duty: AtomicBool::new(false),
             lease_wanted: Notify::new(),
--- a/crates/spurpier-pipeline/src/server/pool/mod.rs
+++ b/crates/spurpier-pipeline/src/server/pool/mod.rs
@@ -390,7 +390,7 @@
         let mut inner = self.lock();
         inner.failure = Some((now, error));
         if error == OpenError::Refused(ErrorClass::TooManyConnections) && inner.full_until <= now {
-            let pause = inner.full_backoff.next_pause(rand::rng().random());
+            let pause = inner.full_backoff.next_delay(rand::rng().random());
             inner.full_until = now + pause;
         }
     }
--- a/crates/spurpier-pipeline/src/unit/read.rs
+++ b/crates/spurpier-pipeline/src/unit/read.rs
@@ -150,7 +150,7 @@
     /// The position that the unit's reads must find.
     pub(super) async fn floor(&self) -> Result<Position, NotRun> {
         let staleness = self.route.freshness.staleness();
-        let since = self.times.arrived.before(staleness);
+        let since = self.times.arrived.saturating_sub(staleness);
         loop {
             if let Some(floor) = self.group.read_floor(since, self.own_commit) {
                 self.renew_ahead(staleness);
@@ -163,7 +163,7 @@
     /// The server that a read would go to first, by what is known now.
     pub(super) fn likely_reader(&self, servers: &[Arc<Server>]) -> Option<Arc<Server>> {
         let staleness = self.route.freshness.staleness();
-        let since = self.times.arrived.before(staleness);
+        let since = self.times.arrived.saturating_sub(staleness);
         let floor = self.group.read_floor(since, self.own_commit);
         let chosen = self.choose_reader(servers, &[], floor.unwrap_or(Position::ZERO));
         chosen.map(|index| Arc::clone(&servers[index]))
--- a/crates/spurpier-pipeline/src/unit/times.rs
+++ b/crates/spurpier-pipeline/src/unit/times.rs
@@ -35,7 +35,7 @@
     /// What a read must see counts from now: a later moment asks for more.
     pub fn of_waited(route: &Route, clock: &Clock, waited: Duration) -> Self {
         let arrived = clock.now();
-        let earliest = clock.earliest_arrival().before(waited);
+        let earliest = clock.earliest_arrival().saturating_sub(waited);
         let margin = LEAST_MARGIN.max(route.timeout / 10);
         let target = if route.target.is_zero() {
             route.timeout
--- a/crates/spurpier-pipeline/tests/fleet_spread.rs
+++ b/crates/spurpier-pipeline/tests/fleet_spread.rs
@@ -81,7 +81,7 @@
 fn a_watcher_has_as_many_followers_whatever_the_size_of_the_fleet() {
     for size in SIZES {
         let homes = Homes::new(&settings());
-        homes.replace(fleet(size), StoreEra::UNTOLD, Timestamp::ZERO);
+        homes.replace(fleet(size), StoreEra::UNREPORTED, Timestamp::ZERO);
         let mut followers: BTreeMap<String, usize> = BTreeMap::new();
         let mut watchers = 0;
         for number in 0..size {
--- a/crates/spurpier-pipeline/tests/homes.rs
+++ b/crates/spurpier-pipeline/tests/homes.rs
@@ -183,7 +183,7 @@
         let mut list: BTreeMap<String, ListedNode> = BTreeMap::new();
         prop_assert!(homes.of(&group(0), connections[0]).is_own, "nothing is known yet");
         prop_assert_eq!(homes.served(), None);
-        homes.replace(BTreeMap::new(), StoreEra::UNTOLD, Timestamp::ZERO);
+        homes.replace(BTreeMap::new(), StoreEra::UNREPORTED, Timestamp::ZERO);
         let homes_of_all = |homes: &Homes| -> Vec<ChosenNodes> {
             let groups = connections.iter().enumerate();
             groups.map(|(number, count)| (*homes.of(&group(number), *count)).clone()).collect()
@@ -208,7 +208,7 @@
                     for number in missing {
                         list.remove(&name(number));
                     }
-                    homes.replace(list.clone(), StoreEra::UNTOLD, Timestamp::ZERO);
+                    homes.replace(list.clone(), StoreEra::UNREPORTED, Timestamp::ZERO);
                     None
                 }
             };
@@ -241,7 +241,7 @@
         lease_group,
     };
     let list = (0..20).map(|number| (name(number), node(0).listed()));
-    homes.replace(list.collect(), StoreEra::UNTOLD, Timestamp::ZERO);
+    homes.replace(list.collect(), StoreEra::UNREPORTED, Timestamp::ZERO);
     let before = homes.of(&group(0), 36);
     let mut own_changes = homes.own_changes();
     own_changes.mark_unchanged();
--- a/crates/spurpier-pipeline/tests/table_eras.rs
+++ b/crates/spurpier-pipeline/tests/table_eras.rs
@@ -141,7 +141,7 @@
         FollowingNode {
             known: KnownTables::new(),
             position: None,
-            era: StoreEra::UNTOLD,
+            era: StoreEra::UNREPORTED,
             pending: None,
         }
     }
@@ -170,9 +170,9 @@
             }) => {
                 self.era = self.era.max(version.era());
                 match continuity(after, version, self.era) {
-                    Continuity::Continues => self.take_changes(&rows, version),
-                    Continuity::Broken => self.position = None,
-                    Continuity::Former => {}
+                    Continuity::Complete => self.take_changes(&rows, version),
+                    Continuity::EraChanged => self.position = None,
+                    Continuity::StaleEra => {}
                 }
             }
         }
--- a/crates/spurpier/src/cluster/forwarding/peer.rs
+++ b/crates/spurpier/src/cluster/forwarding/peer.rs
@@ -163,7 +163,7 @@
         self.counters.connections_failed();
         let mut failures = self.failures.lock().unwrap_or_else(PoisonError::into_inner);
         let is_first = failures.not_before.is_none();
-        let pause = failures.backoff.next_pause(rand::random());
+        let pause = failures.backoff.next_delay(rand::random());
         failures.not_before = Some(Instant::now() + pause);
         if is_first {
             log_event!(
--- a/crates/spurpier/src/home/group/watcher.rs
+++ b/crates/spurpier/src/home/group/watcher.rs
@@ -138,12 +138,12 @@
 
     /// What is known of the start of each term.
     pub fn term_starts(&self) -> TermStarts {
-        self.lock().history.starts().clone()
+        self.lock().history.term_starts().clone()
     }
 
     /// A position at or past every write confirmed before `moment`, if enough is known.
     pub fn index_at(&self, moment: Timestamp) -> Option<Position> {
-        self.lock().history.index_at(moment)
+        self.lock().history.read_index_at(moment)
     }
 
     /// How far each server is behind the group, in the order of the view.
@@ -172,16 +172,22 @@
         });
     }
 
-    /// Takes in a status that was asked at `asked_at`, by a probe or behind a unit.
-    pub fn observe(&self, index: usize, asked_at: Timestamp, status: ServerStatus) {
+    /// Takes in a status that was asked at `requested_at`, by a probe or behind a unit.
+    pub fn observe(&self, index: usize, requested_at: Timestamp, status: ServerStatus) {
         self.update(|servers| {
             let Some(server) = servers.get_mut(index) else {
                 return;
             };
             server.reachable = true;
-            let known = server.observed.as_ref().map(|observed| observed.asked_at);
-            if known.is_none_or(|known| known <= asked_at) {
-                server.observed = Some(ObservedStatus { asked_at, status });
+            let known = server
+                .observed
+                .as_ref()
+                .map(|observed| observed.requested_at);
+            if known.is_none_or(|known| known <= requested_at) {
+                server.observed = Some(ObservedStatus {
+                    requested_at,
+                    status,
+                });
             }
         });
     }
--- a/crates/spurpier/src/home/handover.rs
+++ b/crates/spurpier/src/home/handover.rs
@@ -143,28 +143,28 @@
             let queries = [STATUS_QUERY, FENCE_QUERY, STATUS_QUERY];
             let answers = query_primary(groups.new, home.clock, &queries, STEP_TIMEOUT).await?;
             if let Some(event) = fence_event(&answers) {
-                handover.step_with(&event);
+                handover.handle_event(&event);
             }
         }
         HandoverAction::RaiseFence(epoch) => {
             let query = format!("SELECT raise_fence({epoch})");
             let event = change_fence(home, groups.old, &query, HandoverEvent::FenceRaised).await?;
-            event.map(|event| handover.step_with(&event));
+            event.map(|event| handover.handle_event(&event));
         }
         HandoverAction::OpenFence(epoch) => {
             let query = format!("SELECT open_fence({epoch})");
             let event = change_fence(home, groups.new, &query, HandoverEvent::FenceOpened).await?;
-            event.map(|event| handover.step_with(&event));
+            event.map(|event| handover.handle_event(&event));
         }
-        HandoverAction::ProbeOldSide => {
+        HandoverAction::ProbeSource => {
             follow_views(home, groups.old, handover, |view| {
-                HandoverEvent::OldSide(view)
+                HandoverEvent::SourceView(view)
             })
             .await;
         }
-        HandoverAction::ProbeNewSide => {
+        HandoverAction::ProbeTarget => {
             follow_views(home, groups.new, handover, |view| {
-                HandoverEvent::NewSide(view)
+                HandoverEvent::TargetView(view)
             })
             .await;
         }
@@ -219,7 +219,7 @@
     let now = home.clock.now();
     group.watcher.request_round(now);
     let step = |view: &_| {
-        handover.step_with(&event(view));
+        handover.handle_event(&event(view));
         (handover.step() != before).then_some(())
     };
     // Without a step the next round goes on waiting.
--- a/crates/spurpier/src/home/pool/lease.rs
+++ b/crates/spurpier/src/home/pool/lease.rs
@@ -23,14 +23,17 @@
 
     fn pause(&mut self) {
         if std::mem::take(&mut self.held) {
-            self.pool.lock().admission.depart(self.pool.clock.now());
+            self.pool
+                .lock()
+                .admission
+                .release_slot(self.pool.clock.now());
             self.pool.dispatch();
         }
     }
 
     fn resume(&mut self) {
         if !std::mem::replace(&mut self.held, true) {
-            self.pool.lock().admission.resume();
+            self.pool.lock().admission.reacquire_slot();
         }
     }
 }
@@ -65,7 +68,7 @@
                 .counters()
                 .discarded
                 .fetch_add(1, Ordering::Relaxed);
-            self.pool.lock().state.closed_leased();
+            self.pool.lock().state.closed_in_use();
         }
     }
 }
@@ -108,7 +111,7 @@
         }
         if let Some(connection) = self.connection.connection.take() {
             let mut inner = self.slot.pool.lock();
-            if inner.state.give_back() {
+            if inner.state.release() {
                 inner.idle.push(connection);
             }
         }
--- a/crates/spurpier/src/home/pool/opening.rs
+++ b/crates/spurpier/src/home/pool/opening.rs
@@ -36,7 +36,7 @@
         self.pool.counters().opened.fetch_add(1, Ordering::Relaxed);
         {
             let mut inner = self.pool.lock();
-            inner.state.opened_ahead();
+            inner.state.opened_idle();
             inner.idle.push(connection);
         }
         self.pool.dispatch();
--- a/crates/spurpier/src/home/pool/server_pool.rs
+++ b/crates/spurpier/src/home/pool/server_pool.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use error_stack::Report;
-use spurpier_core::admission::{Admission, Arrival, Ticket};
+use spurpier_core::admission::{AdmissionControl, AdmissionDecision, Ticket};
 use spurpier_core::identity::SessionId;
-use spurpier_core::pool::{LeaseDecision, PoolState};
+use spurpier_core::pool::{AcquireDecision, PoolState};
 use spurpier_core::time::Timestamp;
 use tokio::sync::oneshot;
 
@@ -68,7 +68,7 @@
 
 #[derive(Debug)]
 pub(super) struct PoolInner {
-    pub(super) admission: Admission,
+    pub(super) admission: AdmissionControl,
     pub(super) state: PoolState,
     pub(super) idle: Vec<BackEndConnection>,
     grants: HashMap<Ticket, oneshot::Sender<()>>,
@@ -97,7 +97,7 @@
             address,
             clock,
             inner: Mutex::new(PoolInner {
-                admission: Admission::new(slots, queue),
+                admission: AdmissionControl::new(slots, queue),
                 state: PoolState::new(connections),
                 idle: Vec::new(),
                 grants: HashMap::new(),
@@ -184,10 +184,10 @@
     ) -> Result<Option<QueuePlace<'a>>, AcquireError> {
         let now = self.clock.now();
         let mut inner = self.lock();
-        let free = inner.state.has_room(now);
-        match inner.admission.arrive(session, deadline, free, now) {
-            Arrival::Admitted => Ok(None),
-            Arrival::Queued(ticket) => {
+        let free = inner.state.can_acquire(now);
+        match inner.admission.admit(session, deadline, free, now) {
+            AdmissionDecision::Admitted => Ok(None),
+            AdmissionDecision::Queued(ticket) => {
                 let (grant, granted) = oneshot::channel();
                 inner.grants.insert(ticket, grant);
                 Ok(Some(QueuePlace {
@@ -197,7 +197,7 @@
                     granted,
                 }))
             }
-            Arrival::Refused { retry_after } => {
+            AdmissionDecision::Refused { retry_after } => {
                 self.counters.refused.fetch_add(1, Ordering::Relaxed);
                 Err(AcquireError::Overloaded { retry_after })
             }
@@ -217,18 +217,18 @@
         deadline: Timestamp,
     ) -> Result<Lease, AcquireError> {
         loop {
-            let decision = self.lock().state.lease(self.clock.now());
+            let decision = self.lock().state.acquire(self.clock.now());
             match decision {
-                LeaseDecision::TakeIdle => {
+                AcquireDecision::ReuseIdle => {
                     if let Some(connection) = self.take_idle() {
                         return Ok(Lease::new(slot, connection));
                     }
                 }
-                LeaseDecision::Open => return self.open(slot).await,
-                LeaseDecision::Exhausted if self.clock.now() >= deadline => {
+                AcquireDecision::Open => return self.open(slot).await,
+                AcquireDecision::Exhausted if self.clock.now() >= deadline => {
                     return Err(self.refusal());
                 }
-                LeaseDecision::Exhausted => tokio::time::sleep(EXHAUSTED_PAUSE).await,
+                AcquireDecision::Exhausted => tokio::time::sleep(EXHAUSTED_PAUSE).await,
             }
         }
     }
@@ -238,7 +238,7 @@
         let mut connection = self.lock().idle.pop();
         let alive = connection.as_mut().is_some_and(BackEndConnection::is_alive);
         if !alive {
-            self.lock().state.closed_leased();
+            self.lock().state.closed_in_use();
             return None;
         }
         connection
@@ -248,7 +248,7 @@
         let opening = Opening::new(self);
         match BackEndConnection::open(&self.address).await {
             Ok(connection) => {
-                opening.succeeded(|state| state.opened_for_unit());
+                opening.succeeded(|state| state.opened_in_use());
                 Ok(Lease::new(slot, connection))
             }
             Err(report) => Err(AcquireError::Open(report)),
@@ -257,7 +257,7 @@
 
     /// Opens connections ahead until `wanted` are open, as far as the limit allows.
     pub fn open_ahead(self: &Arc<Self>, wanted: usize) {
-        let missing = self.lock().state.open_ahead(wanted, self.clock.now());
+        let missing = self.lock().state.preopen(wanted, self.clock.now());
         for _ in 0..missing {
             let opening = Opening::new(self);
             tokio::spawn(opening.open_idle());
@@ -285,13 +285,13 @@
     pub(super) fn dispatch(&self) {
         let now = self.clock.now();
         let mut inner = self.lock();
-        while inner.state.has_room(now) {
-            let Some(ticket) = inner.admission.next(now) else {
+        while inner.state.can_acquire(now) {
+            let Some(ticket) = inner.admission.start_next(now) else {
                 return;
             };
             let granted = inner.grants.remove(&ticket);
             if granted.is_none_or(|grant| grant.send(()).is_err()) {
-                inner.admission.depart(now);
+                inner.admission.release_slot(now);
             }
         }
     }
@@ -312,12 +312,12 @@
 impl Drop for QueuePlace<'_> {
     fn drop(&mut self) {
         let mut inner = self.pool.lock();
-        inner.admission.withdraw(self.session, self.ticket);
+        inner.admission.cancel(self.session, self.ticket);
         inner.grants.remove(&self.ticket);
         // A grant that came too late to be taken must not keep the slot.
         let unused = self.granted.try_recv().is_ok();
         if unused {
-            inner.admission.depart(self.pool.clock.now());
+            inner.admission.release_slot(self.pool.clock.now());
         }
         drop(inner);
         if unused {
--- a/crates/spurpier/src/home/unit/context.rs
+++ b/crates/spurpier/src/home/unit/context.rs
@@ -131,7 +131,7 @@
         let view = self.group.watcher.view();
         view.servers
             .get(index)
-            .is_some_and(|server| server.takes_work(self.now()))
+            .is_some_and(|server| server.accepts_work(self.now()))
     }
 
     /// Waits a little after a connection was not to be had; an error when the unit must give up.
--- a/crates/spurpier/src/platform/client.rs
+++ b/crates/spurpier/src/platform/client.rs
@@ -237,7 +237,7 @@
                 Err(report) => report,
             };
             let error = *report.current_context();
-            let mut pause = backoff.next_pause(rand::random());
+            let mut pause = backoff.next_delay(rand::random());
             if let PlatformError::RateLimited { retry_after } = error {
                 pause += retry_after;
             }
--- a/crates/spurpier/src/policy/publication.rs
+++ b/crates/spurpier/src/policy/publication.rs
@@ -60,7 +60,7 @@
         Ok(TransactOutcome::Conflict(_)) => return TransactAnswer::Conflict,
         Err(report) => *report.current_context(),
     };
-    let mut pause = backoff.next_pause(rand::random());
+    let mut pause = backoff.next_delay(rand::random());
     if let PolicyStoreError::Platform(PlatformError::RateLimited { retry_after }) = error {
         pause += retry_after;
     }
