--- a/crates/spurpier-core/benches/ranks.rs
+++ b/crates/spurpier-core/benches/ranks.rs
@@ -6,7 +6,7 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use spurpier_core::homes::subject_digest;
-use spurpier_core::lead::{MOST_HOMES, RankedNode, rank_homes};
+use spurpier_core::leader::{MAX_HOMES, RankedNode, rank_homes};
 use spurpier_core::membership::NodeKey;
 use spurpier_core::ranks::{RankTable, Rankable};
 
@@ -29,7 +29,7 @@
 fn move_one(criterion: &mut Criterion) {
     let mut benches = criterion.benchmark_group("two rows, ranks moved");
     for fleet in FLEETS {
-        let mut table = RankTable::new(MOST_HOMES);
+        let mut table = RankTable::new(MAX_HOMES);
         for number in 0..GROUPS {
             table.add_subject(subject_digest(&group(number)));
         }
--- a/crates/spurpier-core/src/directory/incarnation.rs
+++ b/crates/spurpier-core/src/directory/incarnation.rs
@@ -37,7 +37,7 @@
     }
 
     /// Whether this is another life of the same server.
-    pub fn is_other_life_of(&self, other: &Incarnation) -> bool {
+    pub fn is_other_incarnation_of(&self, other: &Incarnation) -> bool {
         self.name == other.name && self.started_ms != other.started_ms
     }
 }
--- a/crates/spurpier-core/src/directory/mod.rs
+++ b/crates/spurpier-core/src/directory/mod.rs
@@ -7,4 +7,4 @@
 mod roster;
 
 pub use incarnation::Incarnation;
-pub use roster::{Place, Roster, RosterChange, RosterRow, Told};
+pub use roster::{Roster, RosterChange, RosterRow, RowContent, ServerEndpoint};
--- a/crates/spurpier-core/src/directory/roster.rs
+++ b/crates/spurpier-core/src/directory/roster.rs
@@ -8,7 +8,7 @@
 
 /// Where a life of a server serves. It does not change during that life.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Place {
+pub struct ServerEndpoint {
     /// The life.
     pub incarnation: Incarnation,
     /// The group that it serves.
@@ -19,9 +19,9 @@
 
 /// What a row says.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Told {
+pub enum RowContent {
     /// A server that can be used.
-    Server(Place),
+    Server(ServerEndpoint),
     /// Nothing that can be used, whatever the row said before.
     Unusable,
     /// The row was removed.
@@ -36,7 +36,7 @@
     /// The version of its last change.
     pub version: StoreVersion,
     /// What it says.
-    pub told: Told,
+    pub content: RowContent,
 }
 
 /// What is to be done after a row was taken in.
@@ -45,26 +45,26 @@
     /// Nothing: the row is older than what is known, or tells nothing new.
     Nothing,
     /// A server is to be used from now on.
-    Join(Place),
+    Join(ServerEndpoint),
     /// The server that is known tells more of itself.
-    Update(Place),
+    Update(ServerEndpoint),
     /// A server has started again, or stands elsewhere: nothing of the former life holds any more.
     Restart {
         /// The life that is over.
-        former: Place,
+        former: ServerEndpoint,
         /// The one that has begun.
-        present: Place,
+        present: ServerEndpoint,
     },
     /// The row of a server is gone; it may run on for a while, or come back.
-    Leave(Place),
+    Leave(ServerEndpoint),
     /// The row of a server cannot be used any more.
-    Invalidate(Place),
+    Invalidate(ServerEndpoint),
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct KnownRow {
     version: StoreVersion,
-    told: Told,
+    content: RowContent,
 }
 
 /// The servers that the directory names, by their rows.
@@ -79,16 +79,16 @@
 
 impl Roster {
     /// Takes in one row that has changed.
-    pub fn take(&mut self, row: RosterRow) -> RosterChange {
+    pub fn apply(&mut self, row: RosterRow) -> RosterChange {
         let known = self.rows.get(&row.key);
         if known.is_some_and(|known| known.version > row.version) {
             return RosterChange::Nothing;
         }
-        let former = known.map(|known| known.told.clone());
-        let change = change_between(former, row.told.clone());
+        let former = known.map(|known| known.content.clone());
+        let change = change_between(former, row.content.clone());
         let known = KnownRow {
             version: row.version,
-            told: row.told,
+            content: row.content,
         };
         self.rows.insert(row.key, known);
         change
@@ -110,22 +110,22 @@
         for key in missing {
             // A removal that a whole table confirms needs no memory of its own.
             if let Some(KnownRow {
-                told: Told::Server(place),
+                content: RowContent::Server(endpoint),
                 ..
             }) = self.rows.remove(&key)
             {
-                changes.push(RosterChange::Leave(place));
+                changes.push(RosterChange::Leave(endpoint));
             }
         }
-        changes.extend(rows.into_iter().map(|row| self.take(row)));
+        changes.extend(rows.into_iter().map(|row| self.apply(row)));
         changes
     }
 
     /// The server that is to be used under a key; none if there is none.
-    pub fn place(&self, key: &str) -> Option<&Place> {
-        match &self.rows.get(key)?.told {
-            Told::Server(place) => Some(place),
-            Told::Unusable | Told::Removed => None,
+    pub fn endpoint(&self, key: &str) -> Option<&ServerEndpoint> {
+        match &self.rows.get(key)?.content {
+            RowContent::Server(endpoint) => Some(endpoint),
+            RowContent::Unusable | RowContent::Removed => None,
         }
     }
 
@@ -137,28 +137,30 @@
     }
 
     /// How many servers that can be used tell when they started, and how many do not.
-    pub fn count_starts(&self) -> (usize, usize) {
-        let places = self.rows.values().filter_map(|known| match &known.told {
-            Told::Server(place) => Some(place),
-            Told::Unusable | Told::Removed => None,
+    pub fn count_start_times(&self) -> (usize, usize) {
+        let endpoints = self.rows.values().filter_map(|known| match &known.content {
+            RowContent::Server(endpoint) => Some(endpoint),
+            RowContent::Unusable | RowContent::Removed => None,
         });
-        let (told, untold): (Vec<&Place>, Vec<&Place>) =
-            places.partition(|place| place.incarnation.started_ms().is_some());
-        (told.len(), untold.len())
+        let (with_start, without_start): (Vec<&ServerEndpoint>, Vec<&ServerEndpoint>) =
+            endpoints.partition(|endpoint| endpoint.incarnation.started_ms().is_some());
+        (with_start.len(), without_start.len())
     }
 }
 
-fn change_between(former: Option<Told>, present: Told) -> RosterChange {
+fn change_between(former: Option<RowContent>, present: RowContent) -> RosterChange {
     match (former, present) {
-        (Some(Told::Server(former)), Told::Server(present)) if former == present => {
+        (Some(RowContent::Server(former)), RowContent::Server(present)) if former == present => {
             RosterChange::Update(present)
         }
-        (Some(Told::Server(former)), Told::Server(present)) => {
+        (Some(RowContent::Server(former)), RowContent::Server(present)) => {
             RosterChange::Restart { former, present }
         }
-        (_, Told::Server(present)) => RosterChange::Join(present),
-        (Some(Told::Server(former)), Told::Removed) => RosterChange::Leave(former),
-        (Some(Told::Server(former)), Told::Unusable) => RosterChange::Invalidate(former),
-        (_, Told::Removed | Told::Unusable) => RosterChange::Nothing,
+        (_, RowContent::Server(present)) => RosterChange::Join(present),
+        (Some(RowContent::Server(former)), RowContent::Removed) => RosterChange::Leave(former),
+        (Some(RowContent::Server(former)), RowContent::Unusable) => {
+            RosterChange::Invalidate(former)
+        }
+        (_, RowContent::Removed | RowContent::Unusable) => RosterChange::Nothing,
     }
 }
--- a/crates/spurpier-core/src/lead/homes.rs
+++ b/crates/spurpier-core/src/leader/homes.rs
@@ -13,15 +13,15 @@
 
 /// Every node is a home where each has at least so many connections to each server: no unit is
 /// forwarded, and the loss of a node takes no other node's units with it.
-const SHARE_OF_EVERY_NODE: usize = 3;
+const MIN_CONNECTIONS_PER_NODE: usize = 3;
 /// Otherwise a home has so many: with fewer, transactions that rest on their connections leave
 /// none for single statements, and with more, fewer nodes carry the group's work.
-const SHARE_OF_A_HOME: usize = 6;
+const CONNECTIONS_PER_HOME: usize = 6;
 /// The most homes of a group, whatever connections its servers take. Two in each of six zones, so
 /// that a zone keeps one while the other restarts; a fail-over asks all of them, and each keeps its
 /// own proof of the lead. With 138 homes of each of 20 groups on 295 nodes a node spent most of its
 /// processor time on them.
-pub const MOST_HOMES: usize = 12;
+pub const MAX_HOMES: usize = 12;
 
 /// A node as it is ranked.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -35,10 +35,10 @@
 /// How many homes a group has in each zone, for so many connections to each server that `nodes`
 /// in `zones` share; at most all nodes of the zone, at least one.
 pub fn homes_per_zone(connections: usize, nodes: usize, zones: usize) -> usize {
-    if nodes <= MOST_HOMES && nodes * SHARE_OF_EVERY_NODE <= connections {
+    if nodes <= MAX_HOMES && nodes * MIN_CONNECTIONS_PER_NODE <= connections {
         return nodes.max(1);
     }
-    let homes = (connections / SHARE_OF_A_HOME).min(MOST_HOMES);
+    let homes = (connections / CONNECTIONS_PER_HOME).min(MAX_HOMES);
     (homes / zones.max(1)).max(1)
 }
 
--- a/crates/spurpier-core/src/lead/lease.rs
+++ b/crates/spurpier-core/src/leader/lease.rs
@@ -5,11 +5,11 @@
 //! in the platform's store before it is ordered: a [`Succession`] names the one server that may be
 //! used as the lead from then on. Two rules keep the old and the new primary apart:
 //!
-//! - A node uses a lead, and believes its answers, only under a lease ([`holds_lease`]): while what the
-//!   store has told it of the successions in its present life is younger than [`LEASE`], and only if
+//! - A node uses a lead, and believes its answers, only under a lease ([`holds_leader_lease`]): while what the
+//!   store has told it of the successions in its present life is younger than [`LEADER_LEASE`], and only if
 //!   the newest succession that it knows names that server.
 //! - The node that decides orders only when every other node has yielded to the succession, or when
-//!   every lease has ended that was taken without knowing it ([`YieldRound`]).
+//!   every lease has ended that was taken without knowing it ([`LeaseReleaseRound`]).
 //!
 //! All times are of the own steady clock; no node trusts another one's. While the store is away,
 //! nobody can decide.
@@ -26,13 +26,13 @@
 
 /// For how long what the store has told allows the use of a lead. Longer than the store is away at
 /// a time, also from a part of the nodes that is cut off together with the primary.
-pub const LEASE: Duration = Duration::from_secs(10);
+pub const LEADER_LEASE: Duration = Duration::from_secs(10);
 /// What is waited beyond the leases: clocks drift, and the store may hold back a change for a
 /// second while it tells that nothing has changed.
-pub const LEASE_MARGIN: Duration = Duration::from_millis(1_200);
+pub const LEADER_LEASE_MARGIN: Duration = Duration::from_millis(1_200);
 /// For how long after the store has shown that no newer decision exists this one may be ordered.
 /// Far shorter than a newer decision must wait for a node that has not yielded to it.
-pub const ORDER_WINDOW: Duration = Duration::from_millis(700);
+pub const PROMOTION_WINDOW: Duration = Duration::from_millis(700);
 
 /// The decision that a server takes over its group: from then on no other may be used as the lead.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -132,38 +132,38 @@
     }
 }
 
-/// Whether a node holds the lease to use leads, of whatever group; `told_at` is the moment up to which
+/// Whether a node holds the lease to use leads, of whatever group; `reported_at` is the moment up to which
 /// the store has told of all successions in this life of the node, none if it has not.
-pub fn holds_lease(told_at: Option<Timestamp>, now: Timestamp) -> bool {
-    told_at.is_some_and(|told_at| now < told_at + LEASE)
+pub fn holds_leader_lease(reported_at: Option<Timestamp>, now: Timestamp) -> bool {
+    reported_at.is_some_and(|reported_at| now < reported_at + LEADER_LEASE)
 }
 
 /// What the node that has decided does next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RoundState {
     /// It waits: a node may still use the former primary.
-    Await,
+    Wait,
     /// It asks the store whether the decision is still the newest.
     Verify,
     /// It orders the successor to lead, at once.
-    Order,
+    Promote,
     /// It does nothing: there is a newer decision.
-    Void,
+    Superseded,
 }
 
 /// The round in which the other nodes yield to a succession.
 #[derive(Debug, Clone)]
-pub struct YieldRound {
+pub struct LeaseReleaseRound {
     token: u64,
     /// When the store had acknowledged the decision.
     stored_at: Timestamp,
     /// When the last question left that showed that there was no newer decision.
     verified_at: Timestamp,
     /// The nodes that have not yielded.
-    awaited: BTreeSet<String>,
+    pending: BTreeSet<String>,
 }
 
-impl YieldRound {
+impl LeaseReleaseRound {
     /// The round of a decision that was sent to the store and acknowledged at these moments, among
     /// all other nodes that may use a lead.
     pub fn new(
@@ -172,11 +172,11 @@
         stored_at: Timestamp,
         others: impl IntoIterator<Item = String>,
     ) -> Self {
-        YieldRound {
+        LeaseReleaseRound {
             token,
             stored_at,
             verified_at: sent_at,
-            awaited: others.into_iter().collect(),
+            pending: others.into_iter().collect(),
         }
     }
 
@@ -186,44 +186,44 @@
     }
 
     /// Takes in another node that may use a lead.
-    pub fn await_also(&mut self, node: String) {
-        self.awaited.insert(node);
+    pub fn add_node(&mut self, node: String) {
+        self.pending.insert(node);
     }
 
     /// Takes in that a node has yielded to a succession, to this one or to a newer one.
-    pub fn note_yielded(&mut self, node: &str, token: u64) {
+    pub fn record_release(&mut self, node: &str, token: u64) {
         if token >= self.token {
-            self.awaited.remove(node);
+            self.pending.remove(node);
         }
     }
 
     /// Takes in that nobody can use the former primary any more, since it has stepped down.
-    pub fn await_nobody(&mut self) {
-        self.awaited.clear();
+    pub fn clear_pending(&mut self) {
+        self.pending.clear();
     }
 
     /// Takes in that the store's answer to a question which left at `asked_at` showed no newer
     /// decision.
-    pub fn note_verified(&mut self, asked_at: Timestamp) {
+    pub fn record_verification(&mut self, asked_at: Timestamp) {
         self.verified_at = asked_at;
     }
 
     /// Whether a node has not yielded.
-    pub fn awaits(&self, node: &str) -> bool {
-        self.awaited.contains(node)
+    pub fn is_pending(&self, node: &str) -> bool {
+        self.pending.contains(node)
     }
 
     /// What is to be done, when `newest` is the highest token that is known for the group.
     pub fn state(&self, newest: u64, now: Timestamp) -> RoundState {
         if newest > self.token {
-            return RoundState::Void;
+            return RoundState::Superseded;
         }
-        if !self.awaited.is_empty() && now < self.stored_at + LEASE + LEASE_MARGIN {
-            return RoundState::Await;
+        if !self.pending.is_empty() && now < self.stored_at + LEADER_LEASE + LEADER_LEASE_MARGIN {
+            return RoundState::Wait;
         }
-        if now >= self.verified_at + ORDER_WINDOW {
+        if now >= self.verified_at + PROMOTION_WINDOW {
             return RoundState::Verify;
         }
-        RoundState::Order
+        RoundState::Promote
     }
 }
--- /dev/null
+++ b/crates/spurpier-core/src/leader/mod.rs
@@ -0,0 +1,31 @@
+//! Groups that are promoted from outside: who leads, how fresh a read is, and which server runs it.
+//!
+//! Such a group holds no elections, and a deposed primary goes on answering reads. A server refuses
+//! a transaction that may write once it knows that it lost the lead, so that each accepted one
+//! proves the lead at a moment no earlier than the sending of its opening statement, as long as no
+//! replacement can have taken effect without the server's knowledge; `lease` sees to that. Wall
+//! clocks are not used.
+
+mod candidate;
+mod failover;
+mod homes;
+mod lease;
+mod promotion_lease;
+mod proofs;
+mod read_routing;
+mod view;
+
+pub use candidate::{LeaderCandidate, choose_leader_candidate};
+pub use failover::{
+    FailoverDecision, MissingPrimary, PARTITION_TIMEOUT, PrimaryObservation, SuccessorCandidate,
+    choose_successor, decide_failover,
+};
+pub use homes::{MAX_HOMES, RankedNode, WeightedScore, homes_per_zone, rank_homes};
+pub use lease::{
+    LEADER_LEASE, LEADER_LEASE_MARGIN, LeaseReleaseRound, PROMOTION_WINDOW, RoundState, Succession,
+    SuccessorDetails, holds_leader_lease,
+};
+pub use promotion_lease::{HolderStatus, PromotionLeaseRow, PromotionStep, next_promotion_step};
+pub use proofs::{LeadershipProof, LeadershipProofs, SessionCommit, read_floor};
+pub use read_routing::{Distance, ObservedPosition, ServerLoad, choose_read_server};
+pub use view::{LeaderView, ProofError};
--- a/crates/spurpier-core/src/lead/evidence.rs
+++ b/crates/spurpier-core/src/leader/proofs.rs
@@ -7,16 +7,16 @@
 use crate::time::Timestamp;
 
 /// Proofs closer together than this replace each other.
-const SPACING: Duration = Duration::from_millis(25);
+const PROOF_SPACING: Duration = Duration::from_millis(25);
 /// How many proofs are kept.
-const CAPACITY: usize = 256;
+const MAX_PROOFS: usize = 256;
 
 /// The holder of the lead showed this position in answer to a message sent at this moment.
 ///
 /// The position covers every commit acknowledged before `sent_at`: it was in the log of the only
 /// server that could acknowledge commits when the message arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Proof {
+pub struct LeadershipProof {
     /// When the message left, on the steady clock of this node.
     pub sent_at: Timestamp,
     /// The position that the answer showed.
@@ -25,13 +25,13 @@
 
 /// The proofs of one group, oldest first.
 #[derive(Debug, Clone, Default)]
-pub struct LeadEvidence {
-    proofs: VecDeque<Proof>,
+pub struct LeadershipProofs {
+    proofs: VecDeque<LeadershipProof>,
 }
 
-impl LeadEvidence {
+impl LeadershipProofs {
     /// Takes in a proof; answers may come in another order than their messages left.
-    pub fn record(&mut self, proof: Proof) {
+    pub fn record(&mut self, proof: LeadershipProof) {
         let later = self.proofs.iter().rev();
         let behind = later.take_while(|known| known.sent_at > proof.sent_at);
         let at = self.proofs.len() - behind.count();
@@ -43,7 +43,7 @@
             self.proofs.pop_back();
         }
         self.proofs.push_back(proof);
-        if self.proofs.len() > CAPACITY {
+        if self.proofs.len() > MAX_PROOFS {
             self.proofs.pop_front();
         }
     }
@@ -53,31 +53,31 @@
         let before_last = self.proofs.len().checked_sub(2);
         before_last
             .and_then(|index| self.proofs.get(index))
-            .is_some_and(|kept| sent_at.since(kept.sent_at) < SPACING)
+            .is_some_and(|kept| sent_at.since(kept.sent_at) < PROOF_SPACING)
     }
 
     /// The oldest proof that covers every commit acknowledged before `since`.
-    pub fn covering(&self, since: Timestamp) -> Option<Proof> {
+    pub fn oldest_covering(&self, since: Timestamp) -> Option<LeadershipProof> {
         let index = self.proofs.partition_point(|proof| proof.sent_at < since);
         self.proofs.get(index).copied()
     }
 
     /// For how long the lead has held more than this position, as far as is known; zero if nothing
     /// newer is known.
-    pub fn lag_behind(&self, position: Position, now: Timestamp) -> Duration {
+    pub fn replication_lag(&self, position: Position, now: Timestamp) -> Duration {
         let beyond = self.proofs.iter().find(|proof| proof.position > position);
         beyond.map_or(Duration::ZERO, |proof| now.since(proof.sent_at))
     }
 
     /// The proof whose message left last.
-    pub fn newest(&self) -> Option<Proof> {
+    pub fn newest(&self) -> Option<LeadershipProof> {
         self.proofs.back().copied()
     }
 }
 
 /// The last commit of a session.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct OwnCommit {
+pub struct SessionCommit {
     /// Where it stands in the group's log.
     pub position: Position,
     /// When its acknowledgement was taken in.
@@ -91,11 +91,11 @@
 /// stands for that commit too. So does any proof of a newer term, since that term's log starts
 /// with all that survived; positions order by term first, so that the greater one is right.
 pub fn read_floor(
-    evidence: &LeadEvidence,
+    proofs: &LeadershipProofs,
     since: Timestamp,
-    own: Option<OwnCommit>,
+    own: Option<SessionCommit>,
 ) -> Option<Position> {
-    let proof = evidence.covering(since)?;
+    let proof = proofs.oldest_covering(since)?;
     let floor = match own {
         Some(own) if proof.sent_at < own.acknowledged_at => proof.position.max(own.position),
         _ => proof.position,
--- a/crates/spurpier-core/src/lead/choice.rs
+++ b/crates/spurpier-core/src/leader/read_routing.rs
@@ -42,47 +42,48 @@
     /// Requests that it runs at the same time.
     pub slots: usize,
     /// What it was last seen to show.
-    pub shown: Option<Shown>,
+    pub observed: Option<ObservedPosition>,
     /// Until when it is passed over, after it was found full or silent.
     pub avoided_until: Timestamp,
     /// Whether it may take reads at all.
-    pub takes_reads: bool,
+    pub accepts_reads: bool,
     /// Whether it is taken to lead the group.
-    pub leads: bool,
+    pub is_leader: bool,
 }
 
 /// What a server was last seen to show of the group's log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Shown {
+pub struct ObservedPosition {
     /// The position.
     pub position: Position,
     /// When its answer was taken in.
-    pub at: Timestamp,
+    pub observed_at: Timestamp,
     /// For how long the lead had held more then, as far as was known.
     pub lag: Duration,
 }
 
-impl Shown {
+impl ObservedPosition {
     /// How long the position stays a sign that a replica is behind: the farther behind it is, the
     /// longer it takes to catch up.
     fn validity(&self) -> Duration {
-        (self.lag / LAG_PARTS).clamp(SHORTEST_VALIDITY, LONGEST_VALIDITY)
+        (self.lag / LAG_DIVISOR).clamp(MIN_VALIDITY, MAX_VALIDITY)
     }
 }
 
 /// The part of a replica's lag for which it is taken to stay behind.
-const LAG_PARTS: u32 = 8;
+const LAG_DIVISOR: u32 = 8;
 /// The bounds of that time.
-const SHORTEST_VALIDITY: Duration = Duration::from_millis(60);
-const LONGEST_VALIDITY: Duration = Duration::from_millis(1_000);
+const MIN_VALIDITY: Duration = Duration::from_millis(60);
+const MAX_VALIDITY: Duration = Duration::from_millis(1_000);
 /// What is added for a server that was just found behind, so that it is tried last.
-const BEHIND_PENALTY: Duration = Duration::from_millis(400);
+const LAG_PENALTY: Duration = Duration::from_millis(400);
 
 impl ServerLoad {
     fn is_behind(&self, floor: Position, now: Timestamp) -> bool {
-        let is_sign =
-            |shown: Shown| shown.position < floor && now.since(shown.at) < shown.validity();
-        !self.leads && self.shown.is_some_and(is_sign)
+        let indicates_lag = |observed: ObservedPosition| {
+            observed.position < floor && now.since(observed.observed_at) < observed.validity()
+        };
+        !self.is_leader && self.observed.is_some_and(indicates_lag)
     }
 
     fn cost(&self, floor: Position, now: Timestamp) -> Duration {
@@ -90,7 +91,7 @@
         let wait = self.answer_time.saturating_mul(waiting);
         let mut cost = self.answer_time + wait + self.distance.penalty();
         if self.is_behind(floor, now) {
-            cost += BEHIND_PENALTY;
+            cost += LAG_PENALTY;
         }
         cost
     }
@@ -107,7 +108,7 @@
 ) -> Option<usize> {
     let candidates = loads.iter().enumerate();
     candidates
-        .filter(|(index, load)| load.takes_reads && !excluded.contains(index))
+        .filter(|(index, load)| load.accepts_reads && !excluded.contains(index))
         .min_by_key(|(_, load)| (load.avoided_until > now, load.cost(floor, now)))
         .map(|(index, _)| index)
 }
--- a/crates/spurpier-core/src/lead/knowledge.rs
+++ b/crates/spurpier-core/src/leader/view.rs
@@ -3,19 +3,19 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-use super::{LeadEvidence, Proof, Succession};
+use super::{LeadershipProof, LeadershipProofs, Succession};
 use crate::directory::Incarnation;
 use crate::position::Position;
 use crate::time::Timestamp;
 
 /// For how long a server that refused the lead is not asked again, unless its entry changes.
-const DENIAL: Duration = Duration::from_millis(150);
+const REFUSAL_TTL: Duration = Duration::from_millis(150);
 
 /// Why a message that only a lead accepts proves nothing of the group's log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NotProved {
+pub enum ProofError {
     /// The server's life is over: another one answered under its name and address.
-    LifeOver,
+    IncarnationEnded,
     /// The server lacks what it had shown before as the lead: it has started again without its log.
     LogLost,
 }
@@ -27,31 +27,31 @@
 /// and the directory tells of its former life until its next entry is known: what it shows gives it
 /// away. Another server that leads may hold less: then it was promoted.
 #[derive(Debug, Clone)]
-struct ShownByLead {
+struct LeaderPosition {
     server: Incarnation,
     position: Position,
-    at: Timestamp,
+    observed_at: Timestamp,
 }
 
-impl ShownByLead {
+impl LeaderPosition {
     /// Whether a server lacks what it has shown as the lead, in this life or in another one.
-    fn is_lacked(&self, server: &Incarnation, position: Position) -> bool {
+    fn is_ahead_of(&self, server: &Incarnation, position: Position) -> bool {
         self.server.name() == server.name() && position < self.position
     }
 
     /// Whether an answer shows a log that has lost something. Answers to messages that were under
     /// way at the same time may come in any order.
-    fn contradicts(&self, server: &Incarnation, shown: Proof) -> bool {
-        self.is_lacked(server, shown.position) && shown.sent_at >= self.at
+    fn contradicts(&self, server: &Incarnation, proof: LeadershipProof) -> bool {
+        self.is_ahead_of(server, proof.position) && proof.sent_at >= self.observed_at
     }
 
-    fn note(&mut self, server: &Incarnation, position: Position, now: Timestamp) {
+    fn record(&mut self, server: &Incarnation, position: Position, now: Timestamp) {
         let is_other = self.server.name() != server.name();
         if is_other || position > self.position {
-            *self = ShownByLead {
+            *self = LeaderPosition {
                 server: server.clone(),
                 position,
-                at: now,
+                observed_at: now,
             };
         }
     }
@@ -59,66 +59,66 @@
 
 /// What one node knows of who leads a group, and of the group's log.
 #[derive(Debug, Clone, Default)]
-pub struct LeadKnowledge {
+pub struct LeaderView {
     /// The lives of servers that the directory has told of.
-    lives: BTreeSet<Incarnation>,
-    lead: Option<Incarnation>,
+    incarnations: BTreeSet<Incarnation>,
+    leader: Option<Incarnation>,
     /// The server that proved the lead last, also if it has lost it since.
-    led_last: Option<Incarnation>,
-    denied: HashMap<Incarnation, Timestamp>,
-    evidence: LeadEvidence,
+    last_leader: Option<Incarnation>,
+    refused_until: HashMap<Incarnation, Timestamp>,
+    proofs: LeadershipProofs,
     /// The newest proof that this node had itself.
-    own_proof: Option<Proof>,
-    shown: Option<ShownByLead>,
+    own_proof: Option<LeadershipProof>,
+    leader_position: Option<LeaderPosition>,
     /// The newest decision on who leads.
     succession: Option<Succession>,
 }
 
-impl LeadKnowledge {
+impl LeaderView {
     /// Takes in a life of a server.
-    pub fn join(&mut self, incarnation: Incarnation) {
-        self.lives.insert(incarnation);
+    pub fn add_incarnation(&mut self, incarnation: Incarnation) {
+        self.incarnations.insert(incarnation);
     }
 
     /// Forgets a life that is over, or that left long ago: nothing that it shows counts any more.
-    pub fn end_life(&mut self, incarnation: &Incarnation) {
-        self.lives.remove(incarnation);
-        self.denied.remove(incarnation);
-        if self.lead.as_ref() == Some(incarnation) {
-            self.lead = None;
+    pub fn remove_incarnation(&mut self, incarnation: &Incarnation) {
+        self.incarnations.remove(incarnation);
+        self.refused_until.remove(incarnation);
+        if self.leader.as_ref() == Some(incarnation) {
+            self.leader = None;
         }
     }
 
     /// The known lives of the same server but for this one.
-    pub fn other_lives_of(&self, present: &Incarnation) -> Vec<Incarnation> {
-        let others = self.lives.iter();
-        let others = others.filter(|known| known.is_other_life_of(present));
+    pub fn other_incarnations_of(&self, present: &Incarnation) -> Vec<Incarnation> {
+        let others = self.incarnations.iter();
+        let others = others.filter(|known| known.is_other_incarnation_of(present));
         others.cloned().collect()
     }
 
     /// Takes in that a server's entry changed: it may be asked for the lead again.
-    pub fn note_entry(&mut self, incarnation: &Incarnation, claims_lead: bool) {
-        self.denied.remove(incarnation);
-        if self.lead.as_ref() == Some(incarnation) && !claims_lead {
-            self.lead = None;
+    pub fn record_entry_change(&mut self, incarnation: &Incarnation, claims_leadership: bool) {
+        self.refused_until.remove(incarnation);
+        if self.leader.as_ref() == Some(incarnation) && !claims_leadership {
+            self.leader = None;
         }
     }
 
     /// The server that proved the lead last, unless it has lost it since.
-    pub fn lead(&self) -> Option<&Incarnation> {
-        self.lead.as_ref()
+    pub fn leader(&self) -> Option<&Incarnation> {
+        self.leader.as_ref()
     }
 
     /// Whether this server was the last one that proved the lead to this node.
-    pub fn led_last(&self, incarnation: &Incarnation) -> bool {
-        self.led_last.as_ref() == Some(incarnation)
+    pub fn was_last_leader(&self, incarnation: &Incarnation) -> bool {
+        self.last_leader.as_ref() == Some(incarnation)
     }
 
     /// Whether a server may be asked for the lead: no other has been decided on, and it has not just
     /// refused.
-    pub fn may_be_asked(&self, incarnation: &Incarnation, now: Timestamp) -> bool {
-        let denied = self.denied.get(incarnation);
-        self.is_successor(incarnation) && denied.is_none_or(|until| *until <= now)
+    pub fn is_leader_candidate(&self, incarnation: &Incarnation, now: Timestamp) -> bool {
+        let refused_until = self.refused_until.get(incarnation);
+        self.is_successor(incarnation) && refused_until.is_none_or(|until| *until <= now)
     }
 
     /// The newest succession; none if there was none.
@@ -141,51 +141,55 @@
     /// successor, and may hold all that its former life did.
     pub fn is_restarted_successor(&self, incarnation: &Incarnation) -> bool {
         let newest = self.succession.as_ref();
-        newest.is_some_and(|newest| incarnation.is_other_life_of(&newest.successor))
+        newest.is_some_and(|newest| incarnation.is_other_incarnation_of(&newest.successor))
     }
 
     /// Takes in that a server takes over: from now on no other is used as the lead. Tells whether
     /// that is new.
-    pub fn take_succession(&mut self, succession: &Succession, now: Timestamp) -> bool {
+    pub fn apply_succession(&mut self, succession: &Succession, now: Timestamp) -> bool {
         if succession.token <= self.token() {
             return false;
         }
         self.succession = Some(succession.clone());
-        self.denied.remove(&succession.successor);
+        self.refused_until.remove(&succession.successor);
         // A successor may lack what the former lead had shown, but nothing that it had received.
         // What it showed before this moment may be older.
-        self.shown = Some(ShownByLead {
+        self.leader_position = Some(LeaderPosition {
             server: succession.successor.clone(),
             position: succession.received,
-            at: now,
+            observed_at: now,
         });
-        if self.lead.as_ref() != Some(&succession.successor) {
-            self.lead = None;
+        if self.leader.as_ref() != Some(&succession.successor) {
+            self.leader = None;
         }
         if let Some(deposed) = &succession.deposed {
-            self.led_last = Some(deposed.clone());
+            self.last_leader = Some(deposed.clone());
         }
         true
     }
 
     /// Whether a server that holds a position lacks what it has shown as the lead.
     pub fn has_lost_log(&self, incarnation: &Incarnation, position: Position) -> bool {
-        let shown = self.shown.as_ref();
-        shown.is_some_and(|shown| shown.is_lacked(incarnation, position))
+        let known = self.leader_position.as_ref();
+        known.is_some_and(|known| known.is_ahead_of(incarnation, position))
     }
 
     /// Checks what a server that is taken for the lead has shown of its log.
     ///
     /// # Errors
     ///
-    /// [`NotProved`] if it cannot be the lead that was known.
-    pub fn check_shown(&self, incarnation: &Incarnation, shown: Proof) -> Result<(), NotProved> {
-        if !self.lives.contains(incarnation) {
-            return Err(NotProved::LifeOver);
+    /// [`ProofError`] if it cannot be the lead that was known.
+    pub fn check_position(
+        &self,
+        incarnation: &Incarnation,
+        proof: LeadershipProof,
+    ) -> Result<(), ProofError> {
+        if !self.incarnations.contains(incarnation) {
+            return Err(ProofError::IncarnationEnded);
         }
-        let known = self.shown.as_ref();
-        if known.is_some_and(|known| known.contradicts(incarnation, shown)) {
-            return Err(NotProved::LogLost);
+        let known = self.leader_position.as_ref();
+        if known.is_some_and(|known| known.contradicts(incarnation, proof)) {
+            return Err(ProofError::LogLost);
         }
         Ok(())
     }
@@ -195,35 +199,35 @@
     ///
     /// # Errors
     ///
-    /// [`NotProved`] if that says nothing of the group's log.
-    pub fn note_proof(
+    /// [`ProofError`] if that says nothing of the group's log.
+    pub fn record_proof(
         &mut self,
         incarnation: &Incarnation,
-        proof: Proof,
+        proof: LeadershipProof,
         now: Timestamp,
-    ) -> Result<bool, NotProved> {
-        self.check_shown(incarnation, proof)?;
+    ) -> Result<bool, ProofError> {
+        self.check_position(incarnation, proof)?;
         let position = proof.position;
-        match &mut self.shown {
-            Some(shown) => shown.note(incarnation, position, now),
+        match &mut self.leader_position {
+            Some(known) => known.record(incarnation, position, now),
             None => {
-                self.shown = Some(ShownByLead {
+                self.leader_position = Some(LeaderPosition {
                     server: incarnation.clone(),
                     position,
-                    at: now,
+                    observed_at: now,
                 });
             }
         }
-        self.evidence.record(proof);
+        self.proofs.record(proof);
         let newest = self.own_proof;
         if newest.is_none_or(|known| known.sent_at <= proof.sent_at) {
             self.own_proof = Some(proof);
         }
-        self.denied.remove(incarnation);
-        let is_new = self.lead.as_ref() != Some(incarnation);
+        self.refused_until.remove(incarnation);
+        let is_new = self.leader.as_ref() != Some(incarnation);
         if is_new {
-            self.lead = Some(incarnation.clone());
-            self.led_last = Some(incarnation.clone());
+            self.leader = Some(incarnation.clone());
+            self.last_leader = Some(incarnation.clone());
         }
         Ok(is_new)
     }
@@ -231,28 +235,29 @@
     /// Takes in a proof that another node has told of.
     ///
     /// It may be of the former lead, so that what it shows is no bound for the present one.
-    pub fn note_told_proof(&mut self, proof: Proof) {
-        self.evidence.record(proof);
+    pub fn record_reported_proof(&mut self, proof: LeadershipProof) {
+        self.proofs.record(proof);
     }
 
     /// Takes in that a server refused as one that does not lead; tells whether it led as far as was
     /// known.
-    pub fn note_denial(&mut self, incarnation: &Incarnation, now: Timestamp) -> bool {
-        self.denied.insert(incarnation.clone(), now + DENIAL);
-        let lost = self.lead.as_ref() == Some(incarnation);
+    pub fn record_refusal(&mut self, incarnation: &Incarnation, now: Timestamp) -> bool {
+        self.refused_until
+            .insert(incarnation.clone(), now + REFUSAL_TTL);
+        let lost = self.leader.as_ref() == Some(incarnation);
         if lost {
-            self.lead = None;
+            self.leader = None;
         }
         lost
     }
 
     /// What the proofs say of the group's log.
-    pub fn evidence(&self) -> &LeadEvidence {
-        &self.evidence
+    pub fn proofs(&self) -> &LeadershipProofs {
+        &self.proofs
     }
 
     /// The newest proof that this node had itself.
-    pub fn own_proof(&self) -> Option<Proof> {
+    pub fn own_proof(&self) -> Option<LeadershipProof> {
         self.own_proof
     }
 }
--- a/crates/spurpier-core/src/lib.rs
+++ b/crates/spurpier-core/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod handover;
 pub mod homes;
 pub mod identity;
-pub mod lead;
+pub mod leader;
 pub mod membership;
 pub mod places;
 pub mod policy;
--- a/crates/spurpier-core/src/places/evacuation.rs
+++ b/crates/spurpier-core/src/places/evacuation.rs
@@ -11,7 +11,7 @@
 use crate::time::Timestamp;
 
 /// For how long the store may hold back a change while it tells that nothing has changed, as in
-/// [`LEASE_MARGIN`](crate::lead::LEASE_MARGIN).
+/// [`LEADER_LEASE_MARGIN`](crate::leader::LEADER_LEASE_MARGIN).
 pub const HELD_BACK: Duration = Duration::from_millis(1_000);
 /// What is kept of the bound for the way to a server, for a write that its link delays, and for
 /// clocks that drift: 20 ms of way between regions, and half a second at which a link counts as
--- a/crates/spurpier-core/tests/incarnation_model/mod.rs
+++ b/crates/spurpier-core/tests/incarnation_model/mod.rs
@@ -1,13 +1,17 @@
 //! A group of three servers that crash and start again under their names, a directory whose rows
 //! come late, twice or in any order, and one node before them that keeps a [`Roster`] and a
-//! [`LeadKnowledge`]. The oracle knows each life's log and what was acknowledged.
+//! [`LeaderView`]. The oracle knows each life's log and what was acknowledged.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use proptest::prelude::*;
-use spurpier_core::directory::{Incarnation, Place, Roster, RosterChange, RosterRow, Told};
-use spurpier_core::lead::{Candidate, LeadKnowledge, Proof, Succession, choose_successor};
+use spurpier_core::directory::{
+    Incarnation, Roster, RosterChange, RosterRow, RowContent, ServerEndpoint,
+};
+use spurpier_core::leader::{
+    LeaderView, LeadershipProof, Succession, SuccessorCandidate, choose_successor,
+};
 use spurpier_core::position::Position;
 use spurpier_core::store_version::StoreVersion;
 use spurpier_core::time::Timestamp;
@@ -115,7 +119,7 @@
     believed: Incarnation,
     born: u64,
     /// What the server showed when it was opened.
-    shown: Proof,
+    shown: LeadershipProof,
 }
 
 pub struct World {
@@ -130,7 +134,7 @@
     table: BTreeMap<String, RosterRow>,
     history: Vec<RosterRow>,
     roster: Roster,
-    leading: LeadKnowledge,
+    leading: LeaderView,
     connections: BTreeMap<usize, Connection>,
     stored: Option<Succession>,
     /// A decision whose order has not left.
@@ -167,7 +171,7 @@
             table: BTreeMap::new(),
             history: Vec::new(),
             roster: Roster::default(),
-            leading: LeadKnowledge::default(),
+            leading: LeaderView::default(),
             connections: BTreeMap::new(),
             stored: None,
             decided: None,
@@ -195,8 +199,8 @@
                 moves,
             } => self.start(*server, *keeps_log, *moves),
             Step::Tell(server) => self.tell(*server),
-            Step::Spoil(server) => self.write_row(*server, Told::Unusable),
-            Step::RemoveRow(server) => self.write_row(*server, Told::Removed),
+            Step::Spoil(server) => self.write_row(*server, RowContent::Unusable),
+            Step::RemoveRow(server) => self.write_row(*server, RowContent::Removed),
             Step::Deliver(index) => {
                 let row = index.get(&self.history).clone();
                 self.deliver(row);
@@ -238,13 +242,13 @@
             return;
         }
         let started_ms = (self.breakage != Breakage::NoLives).then_some(telling.born);
-        let place = Place {
+        let endpoint = ServerEndpoint {
             incarnation: Incarnation::new(&name(server), started_ms),
             group: GROUP.to_owned(),
             address: SocketAddr::from(([10, 0, 0, 1], telling.port)),
         };
         let born = telling.born;
-        self.write_row(server, Told::Server(place));
+        self.write_row(server, RowContent::Server(endpoint));
         self.writers.insert(self.version, born);
     }
 
@@ -254,12 +258,12 @@
         self.writers.get(&version.to_bits()) == Some(&self.servers[server].born)
     }
 
-    fn write_row(&mut self, server: usize, told: Told) {
+    fn write_row(&mut self, server: usize, content: RowContent) {
         self.version += 1;
         let row = RosterRow {
             key: name(server),
             version: StoreVersion::from_bits(self.version),
-            told,
+            content,
         };
         self.table.insert(row.key.clone(), row.clone());
         self.history.push(row);
@@ -270,13 +274,15 @@
             let known = self.roster.version(&row.key).to_bits();
             row.version = StoreVersion::from_bits(known + 1);
         }
-        let change = self.roster.take(row);
+        let change = self.roster.apply(row);
         self.take_change(change);
     }
 
     fn read_table(&mut self) {
         let rows = self.table.values();
-        let rows = rows.filter(|row| row.told != Told::Removed).cloned();
+        let rows = rows
+            .filter(|row| row.content != RowContent::Removed)
+            .cloned();
         let changes = self
             .roster
             .replace(rows.collect(), StoreVersion::from_bits(self.version));
@@ -284,11 +290,11 @@
             self.take_change(change);
         }
         for server in 0..SERVERS {
-            let told = match self.table.get(&name(server)).map(|row| &row.told) {
-                Some(Told::Server(place)) => Some(place.clone()),
+            let listed = match self.table.get(&name(server)).map(|row| &row.content) {
+                Some(RowContent::Server(endpoint)) => Some(endpoint.clone()),
                 _ => None,
             };
-            if self.roster.place(&name(server)) != told.as_ref() {
+            if self.roster.endpoint(&name(server)) != listed.as_ref() {
                 self.note_violation("the roster differs from the table that was read");
             }
         }
@@ -303,40 +309,40 @@
             }
         };
         if let Some(former) = former {
-            self.leading.end_life(&former.incarnation);
+            self.leading.remove_incarnation(&former.incarnation);
         }
         if let Some(present) = present {
-            for other in self.leading.other_lives_of(&present.incarnation) {
-                self.leading.end_life(&other);
+            for other in self.leading.other_incarnations_of(&present.incarnation) {
+                self.leading.remove_incarnation(&other);
             }
-            self.leading.join(present.incarnation.clone());
-            self.leading.note_entry(&present.incarnation, true);
+            self.leading.add_incarnation(present.incarnation.clone());
+            self.leading.record_entry_change(&present.incarnation, true);
         }
     }
 
     /// The server that is reached where the node believes one to stand.
-    fn reach(&self, place: &Place) -> Option<usize> {
+    fn reach(&self, endpoint: &ServerEndpoint) -> Option<usize> {
         (0..SERVERS).find(|server| {
             let reached = &self.servers[*server];
             reached.is_alive
-                && reached.port == place.address.port()
-                && place.incarnation.name() == name(*server)
+                && reached.port == endpoint.address.port()
+                && endpoint.incarnation.name() == name(*server)
         })
     }
 
-    /// A connection to a place, opened if the one that there was is broken; what the server showed as
+    /// A connection to a endpoint, opened if the one that there was is broken; what the server showed as
     /// it was opened is checked before anything is sent to it as the lead.
-    fn connect(&mut self, place: &Place, as_lead: bool) -> Option<usize> {
-        let server = self.reach(place)?;
+    fn connect(&mut self, endpoint: &ServerEndpoint, as_lead: bool) -> Option<usize> {
+        let server = self.reach(endpoint)?;
         let born = self.servers[server].born;
         let known = self.connections.get(&server);
         let is_open =
-            known.is_some_and(|known| known.born == born && known.believed == place.incarnation);
+            known.is_some_and(|known| known.born == born && known.believed == endpoint.incarnation);
         if !is_open {
             let opened = Connection {
-                believed: place.incarnation.clone(),
+                believed: endpoint.incarnation.clone(),
                 born,
-                shown: Proof {
+                shown: LeadershipProof {
                     sent_at: self.now(),
                     position: self.servers[server].position(),
                 },
@@ -344,10 +350,10 @@
             self.connections.insert(server, opened);
         }
         let shown = self.connections[&server].shown;
-        let checked = self.leading.check_shown(&place.incarnation, shown);
+        let checked = self.leading.check_position(&endpoint.incarnation, shown);
         if as_lead && checked.is_err() && self.breakage != Breakage::NoShown {
             let now = self.now();
-            self.leading.note_denial(&place.incarnation, now);
+            self.leading.record_refusal(&endpoint.incarnation, now);
             return None;
         }
         Some(server)
@@ -359,31 +365,31 @@
         found.expect("all incarnations are of known servers")
     }
 
-    fn places(&self) -> Vec<Place> {
-        let places = (0..SERVERS).filter_map(|server| self.roster.place(&name(server)));
-        places.cloned().collect()
+    fn endpoints(&self) -> Vec<ServerEndpoint> {
+        let endpoints = (0..SERVERS).filter_map(|server| self.roster.endpoint(&name(server)));
+        endpoints.cloned().collect()
     }
 
     fn write(&mut self) {
         let now = self.now();
-        let mut places = self.places();
-        places.retain(|place| self.leading.may_be_asked(&place.incarnation, now));
-        places.sort_by_key(|place| self.leading.lead() != Some(&place.incarnation));
-        for place in places {
-            let Some(server) = self.connect(&place, true) else {
+        let mut endpoints = self.endpoints();
+        endpoints.retain(|endpoint| self.leading.is_leader_candidate(&endpoint.incarnation, now));
+        endpoints.sort_by_key(|endpoint| self.leading.leader() != Some(&endpoint.incarnation));
+        for endpoint in endpoints {
+            let Some(server) = self.connect(&endpoint, true) else {
                 continue;
             };
             if server != self.lead {
                 let now = self.now();
-                self.leading.note_denial(&place.incarnation, now);
+                self.leading.record_refusal(&endpoint.incarnation, now);
                 continue;
             }
-            self.run_write(&place, server);
+            self.run_write(&endpoint, server);
             return;
         }
     }
 
-    fn run_write(&mut self, place: &Place, server: usize) {
+    fn run_write(&mut self, endpoint: &ServerEndpoint, server: usize) {
         if !self.has_proof && !self.is_told(server) {
             // The node knows of the lead's log what that held at the decision, and nothing tells it
             // that another life has begun.
@@ -400,9 +406,9 @@
         self.roll_back_to(server);
         self.now_ms += 1;
         let position = self.servers[server].position();
-        let proof = Proof { sent_at, position };
+        let proof = LeadershipProof { sent_at, position };
         let now = self.now();
-        match self.leading.note_proof(&place.incarnation, proof, now) {
+        match self.leading.record_proof(&endpoint.incarnation, proof, now) {
             Ok(_) => {
                 self.acknowledged.push(write);
                 self.has_proof = true;
@@ -443,13 +449,13 @@
     }
 
     fn read(&mut self, server: usize) {
-        let Some(place) = self.roster.place(&name(server)).cloned() else {
+        let Some(endpoint) = self.roster.endpoint(&name(server)).cloned() else {
             return;
         };
-        let Some(proof) = self.leading.evidence().newest() else {
+        let Some(proof) = self.leading.proofs().newest() else {
             return;
         };
-        let Some(reached) = self.connect(&place, false) else {
+        let Some(reached) = self.connect(&endpoint, false) else {
             return;
         };
         if self.servers[reached].holds(proof.position) {
@@ -467,29 +473,29 @@
     /// The choice of [`choose_successor`], but for a server that leads already and holds what the
     /// lead had shown.
     fn decide(&mut self) {
-        let places = self.places();
-        let received = |place: &Place| {
-            let server = self.reach(place)?;
+        let endpoints = self.endpoints();
+        let received = |endpoint: &ServerEndpoint| {
+            let server = self.reach(endpoint)?;
             Some(self.servers[server].position())
         };
-        let leads = |place: &&Place| {
-            self.reach(place) == Some(self.lead)
-                && received(place).is_some_and(|received| {
-                    !self.leading.has_lost_log(&place.incarnation, received)
+        let leads = |endpoint: &&ServerEndpoint| {
+            self.reach(endpoint) == Some(self.lead)
+                && received(endpoint).is_some_and(|received| {
+                    !self.leading.has_lost_log(&endpoint.incarnation, received)
                 })
         };
-        let candidates: Vec<Candidate> = places
+        let candidates: Vec<SuccessorCandidate> = endpoints
             .iter()
-            .map(|place| Candidate {
-                received: received(place),
-                staying: true,
-                fit: 0,
+            .map(|endpoint| SuccessorCandidate {
+                received: received(endpoint),
+                eligible: true,
+                placement_score: 0,
             })
             .collect();
-        let chosen = places
+        let chosen = endpoints
             .iter()
             .find(leads)
-            .or_else(|| choose_successor(&candidates, 0).map(|index| &places[index]));
+            .or_else(|| choose_successor(&candidates, 0).map(|index| &endpoints[index]));
         let Some(chosen) = chosen.filter(|chosen| received(chosen).is_some()) else {
             return;
         };
@@ -502,7 +508,7 @@
         };
         self.stored = Some(succession.clone());
         let now = self.now();
-        self.leading.take_succession(&succession, now);
+        self.leading.apply_succession(&succession, now);
         if let Some(server) = self.reach(&chosen).filter(|server| *server == self.lead) {
             // It leads already, with what it has.
             let held = self.servers[server].log.len();
@@ -526,12 +532,12 @@
             return;
         };
         let ordered = &succession.successor;
-        let listed = self.roster.place(ordered.name());
-        let is_listed = listed.is_some_and(|place| place.incarnation == *ordered);
+        let listed = self.roster.endpoint(ordered.name());
+        let is_listed = listed.is_some_and(|endpoint| endpoint.incarnation == *ordered);
         if !is_listed && self.breakage != Breakage::OrdersFormerLife {
             return;
         }
-        if listed.is_some_and(|place| place.incarnation.is_other_life_of(ordered)) {
+        if listed.is_some_and(|endpoint| endpoint.incarnation.is_other_incarnation_of(ordered)) {
             self.note_violation("an order for a life that was known to be over");
         }
         let server = self.server_of(ordered);
@@ -556,14 +562,14 @@
             return;
         }
         self.roster = Roster::default();
-        self.leading = LeadKnowledge::default();
+        self.leading = LeaderView::default();
         self.connections.clear();
         self.decided = None;
         self.has_proof = false;
         match self.stored.clone() {
             Some(stored) => {
                 let now = self.now();
-                self.leading.take_succession(&stored, now);
+                self.leading.apply_succession(&stored, now);
             }
             // Nothing tells which life led before: what the primary shows must be believed.
             None => self.acknowledged.clear(),
--- a/crates/spurpier-core/tests/incarnations.rs
+++ b/crates/spurpier-core/tests/incarnations.rs
@@ -16,8 +16,10 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, TestRunner};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
-use spurpier_core::directory::{Incarnation, Place, Roster, RosterChange, RosterRow, Told};
-use spurpier_core::lead::Succession;
+use spurpier_core::directory::{
+    Incarnation, Roster, RosterChange, RosterRow, RowContent, ServerEndpoint,
+};
+use spurpier_core::leader::Succession;
 use spurpier_core::position::Position;
 use spurpier_core::store_version::StoreVersion;
 use spurpier_core::wire::encode_text;
@@ -109,33 +111,33 @@
     assert!(is_noticed(Breakage::OrdersFormerLife));
 }
 
-fn place(name: &str, started_ms: Option<u64>, port: u16) -> Place {
-    Place {
+fn endpoint(name: &str, started_ms: Option<u64>, port: u16) -> ServerEndpoint {
+    ServerEndpoint {
         incarnation: Incarnation::new(name, started_ms),
         group: "group".to_owned(),
         address: SocketAddr::from(([10, 0, 0, 1], port)),
     }
 }
 
-fn row(version: u64, told: Told) -> RosterRow {
+fn row(version: u64, content: RowContent) -> RosterRow {
     RosterRow {
         key: "i-1".to_owned(),
         version: StoreVersion::from_bits(version),
-        told,
+        content,
     }
 }
 
 #[test]
 fn another_start_or_another_address_is_another_life() {
     let mut roster = Roster::default();
-    let first = place("i-1", Some(10), 1);
-    let joined = roster.take(row(1, Told::Server(first.clone())));
+    let first = endpoint("i-1", Some(10), 1);
+    let joined = roster.apply(row(1, RowContent::Server(first.clone())));
     assert_eq!(joined, RosterChange::Join(first.clone()));
-    let told_again = roster.take(row(2, Told::Server(first.clone())));
-    assert_eq!(told_again, RosterChange::Update(first.clone()));
+    let unchanged = roster.apply(row(2, RowContent::Server(first.clone())));
+    assert_eq!(unchanged, RosterChange::Update(first.clone()));
     // An earlier start is as much another one: the servers' clocks step.
-    let second = place("i-1", Some(9), 1);
-    let restarted = roster.take(row(3, Told::Server(second.clone())));
+    let second = endpoint("i-1", Some(9), 1);
+    let restarted = roster.apply(row(3, RowContent::Server(second.clone())));
     assert_eq!(
         restarted,
         RosterChange::Restart {
@@ -143,40 +145,40 @@
             present: second.clone(),
         }
     );
-    let moved = roster.take(row(4, Told::Server(place("i-1", Some(9), 2))));
+    let moved = roster.apply(row(4, RowContent::Server(endpoint("i-1", Some(9), 2))));
     assert_matches!(moved, RosterChange::Restart { former, .. } => assert_eq!(former, second));
 }
 
 #[test]
 fn a_late_row_brings_no_former_life_back() {
     let mut roster = Roster::default();
-    let first = place("i-1", Some(10), 1);
-    let second = place("i-1", Some(20), 2);
-    roster.take(row(1, Told::Server(first.clone())));
-    roster.take(row(5, Told::Server(second.clone())));
-    let late = roster.take(row(1, Told::Server(first.clone())));
+    let first = endpoint("i-1", Some(10), 1);
+    let second = endpoint("i-1", Some(20), 2);
+    roster.apply(row(1, RowContent::Server(first.clone())));
+    roster.apply(row(5, RowContent::Server(second.clone())));
+    let late = roster.apply(row(1, RowContent::Server(first.clone())));
     assert_eq!(late, RosterChange::Nothing);
-    roster.take(row(6, Told::Removed));
-    let late = roster.take(row(5, Told::Server(second)));
+    roster.apply(row(6, RowContent::Removed));
+    let late = roster.apply(row(5, RowContent::Server(second)));
     assert_eq!(late, RosterChange::Nothing, "also not after its removal");
 }
 
 #[test]
 fn an_unusable_row_takes_only_its_own_server_out() {
     let mut roster = Roster::default();
-    let other = place("i-2", Some(10), 2);
+    let other = endpoint("i-2", Some(10), 2);
     let other_row = RosterRow {
         key: "i-2".to_owned(),
-        ..row(1, Told::Server(other.clone()))
+        ..row(1, RowContent::Server(other.clone()))
     };
-    roster.take(other_row);
-    let server = place("i-1", Some(10), 1);
-    roster.take(row(2, Told::Server(server.clone())));
-    let spoiled = roster.take(row(3, Told::Unusable));
+    roster.apply(other_row);
+    let server = endpoint("i-1", Some(10), 1);
+    roster.apply(row(2, RowContent::Server(server.clone())));
+    let spoiled = roster.apply(row(3, RowContent::Unusable));
     assert_eq!(spoiled, RosterChange::Invalidate(server.clone()));
-    assert_eq!(roster.place("i-1"), None);
-    assert_eq!(roster.place("i-2"), Some(&other));
-    let mended = roster.take(row(4, Told::Server(server.clone())));
+    assert_eq!(roster.endpoint("i-1"), None);
+    assert_eq!(roster.endpoint("i-2"), Some(&other));
+    let mended = roster.apply(row(4, RowContent::Server(server.clone())));
     assert_eq!(mended, RosterChange::Join(server));
 }
 
--- a/crates/spurpier-core/tests/lead.rs
+++ b/crates/spurpier-core/tests/lead.rs
@@ -3,10 +3,12 @@
 use std::time::Duration;
 
 use spurpier_core::homes::subject_digest;
-use spurpier_core::lead::{
-    Candidate, Distance, DutyRow, DutyStep, HolderRecord, LeadCandidate, LeadEvidence, Missing,
-    OwnCommit, Proof, RankedNode, SPLIT_PATIENCE, ServerLoad, Shown, Sight, Verdict, choose_lead,
-    choose_read_server, choose_successor, homes_per_zone, judge, next_step, rank_homes, read_floor,
+use spurpier_core::leader::{
+    Distance, FailoverDecision, HolderStatus, LeaderCandidate, LeadershipProof, LeadershipProofs,
+    MissingPrimary, ObservedPosition, PARTITION_TIMEOUT, PrimaryObservation, PromotionLeaseRow,
+    PromotionStep, RankedNode, ServerLoad, SessionCommit, SuccessorCandidate,
+    choose_leader_candidate, choose_read_server, choose_successor, decide_failover, homes_per_zone,
+    next_promotion_step, rank_homes, read_floor,
 };
 use spurpier_core::membership::NodeKey;
 use spurpier_core::position::Position;
@@ -17,15 +19,15 @@
     Timestamp::from_millis(millis)
 }
 
-fn proof(sent_ms: u64, term: u64, offset: u64) -> Proof {
-    Proof {
+fn proof(sent_ms: u64, term: u64, offset: u64) -> LeadershipProof {
+    LeadershipProof {
         sent_at: at(sent_ms),
         position: Position::new(term, offset),
     }
 }
 
-fn evidence(proofs: &[Proof]) -> LeadEvidence {
-    let mut evidence = LeadEvidence::default();
+fn evidence(proofs: &[LeadershipProof]) -> LeadershipProofs {
+    let mut evidence = LeadershipProofs::default();
     for proof in proofs {
         evidence.record(*proof);
     }
@@ -55,22 +57,24 @@
 
 #[test]
 fn proofs_that_stand_close_together_keep_the_first_and_the_last() {
-    let close: Vec<Proof> = (0..20)
+    let close: Vec<LeadershipProof> = (0..20)
         .map(|step| proof(100 + step, 1, 10 + step))
         .collect();
     let evidence = evidence(&close);
     assert_eq!(evidence.newest(), Some(proof(119, 1, 29)));
-    assert_eq!(evidence.covering(at(90)), Some(proof(100, 1, 10)));
-    assert_eq!(evidence.covering(at(119)), Some(proof(119, 1, 29)));
+    assert_eq!(evidence.oldest_covering(at(90)), Some(proof(100, 1, 10)));
+    assert_eq!(evidence.oldest_covering(at(119)), Some(proof(119, 1, 29)));
 }
 
 #[test]
 fn many_proofs_do_not_grow_without_bound() {
-    let mut evidence = LeadEvidence::default();
+    let mut evidence = LeadershipProofs::default();
     for step in 0..10_000 {
         evidence.record(proof(step * 50, 1, step));
     }
-    let oldest = evidence.covering(Timestamp::ZERO).expect("some are kept");
+    let oldest = evidence
+        .oldest_covering(Timestamp::ZERO)
+        .expect("some are kept");
     assert!(oldest.sent_at > at(400_000), "old proofs are dropped");
 }
 
@@ -78,7 +82,7 @@
 fn a_session_finds_its_own_commit() {
     let evidence = evidence(&[proof(100, 1, 5)]);
     let own = |offset, acknowledged_ms| {
-        Some(OwnCommit {
+        Some(SessionCommit {
             position: Position::new(1, offset),
             acknowledged_at: at(acknowledged_ms),
         })
@@ -96,7 +100,7 @@
 #[test]
 fn a_proof_of_a_newer_term_stands_for_commits_of_older_ones() {
     let evidence = evidence(&[proof(100, 2, 5)]);
-    let own = Some(OwnCommit {
+    let own = Some(SessionCommit {
         position: Position::new(1, 9),
         acknowledged_at: at(150),
     });
@@ -110,10 +114,10 @@
         answer_time: Duration::from_millis(20),
         in_flight: 0,
         slots: 3,
-        shown: None,
+        observed: None,
         avoided_until: Timestamp::ZERO,
-        takes_reads: true,
-        leads: false,
+        accepts_reads: true,
+        is_leader: false,
     }
 }
 
@@ -148,29 +152,29 @@
 #[test]
 fn reads_pass_over_a_leaving_a_silent_and_a_lagging_server() {
     let mut leaving = load(Distance::Zone);
-    leaving.takes_reads = false;
+    leaving.accepts_reads = false;
     assert_eq!(chosen(&[leaving, load(Distance::Remote)], &[]), Some(1));
     let mut silent = load(Distance::Zone);
     silent.avoided_until = at(1_100);
     assert_eq!(chosen(&[silent, load(Distance::Remote)], &[]), Some(1));
     assert_eq!(chosen(&[silent], &[]), Some(0), "there is no other");
     let mut lagging = load(Distance::Zone);
-    let shown = |at_ms, lag_ms| {
-        Some(Shown {
+    let observed = |at_ms, lag_ms| {
+        Some(ObservedPosition {
             position: Position::new(1, 9),
-            at: at(at_ms),
+            observed_at: at(at_ms),
             lag: Duration::from_millis(lag_ms),
         })
     };
-    lagging.shown = shown(990, 0);
+    lagging.observed = observed(990, 0);
     assert_eq!(chosen(&[lagging, load(Distance::Remote)], &[]), Some(1));
-    lagging.shown = shown(500, 60);
+    lagging.observed = observed(500, 60);
     assert_eq!(
         chosen(&[lagging, load(Distance::Remote)], &[]),
         Some(0),
         "it may have caught up since"
     );
-    lagging.shown = shown(500, 8_000);
+    lagging.observed = observed(500, 8_000);
     assert_eq!(
         chosen(&[lagging, load(Distance::Remote)], &[]),
         Some(1),
@@ -180,10 +184,10 @@
 
 #[test]
 fn a_replicas_lag_is_the_time_for_which_the_lead_has_held_more() {
-    let mut evidence = LeadEvidence::default();
+    let mut evidence = LeadershipProofs::default();
     let now = at(9_000);
     assert_eq!(
-        evidence.lag_behind(Position::new(1, 5), now),
+        evidence.replication_lag(Position::new(1, 5), now),
         Duration::ZERO
     );
     evidence.record(proof(1_000, 1, 5));
@@ -192,86 +196,121 @@
     evidence.record(proof(8_500, 1, 12));
     let lag = |offset| {
         evidence
-            .lag_behind(Position::new(1, offset), now)
+            .replication_lag(Position::new(1, offset), now)
             .as_millis()
     };
     assert_eq!([lag(4), lag(5), lag(8), lag(12)], [8_000, 5_000, 500, 0]);
 }
 
-const PATIENCE: Duration = Duration::from_millis(450);
+const FAILURE_TIMEOUT: Duration = Duration::from_millis(450);
 
-fn sight(proven_ago_ms: Option<u64>) -> Sight {
-    Sight {
-        proven_ago: proven_ago_ms.map(Duration::from_millis),
+fn observation(last_proof_age_ms: Option<u64>) -> PrimaryObservation {
+    PrimaryObservation {
+        last_proof_age: last_proof_age_ms.map(Duration::from_millis),
     }
 }
 
-fn missing(peers: Vec<Sight>) -> Missing {
-    Missing {
-        missing_for: PATIENCE,
-        asked: 6,
-        peers,
-        listed: true,
-        reaches_all: true,
+fn missing(peer_observations: Vec<PrimaryObservation>) -> MissingPrimary {
+    MissingPrimary {
+        missing_for: FAILURE_TIMEOUT,
+        peers_asked: 6,
+        peer_observations,
+        primary_listed: true,
+        all_holders_reachable: true,
     }
 }
 
 #[test]
 fn one_nodes_silence_replaces_no_primary() {
-    let seen_by_all = missing(vec![sight(Some(100)); 6]);
-    assert_eq!(judge(&seen_by_all, PATIENCE), Verdict::Keep);
-    let seen_by_half = missing(vec![sight(Some(100)), sight(Some(50)), sight(None)]);
-    assert_eq!(judge(&seen_by_half, PATIENCE), Verdict::Keep);
-    let seen_by_few = missing(vec![sight(Some(100)), sight(Some(2_000)), sight(None)]);
-    assert_eq!(judge(&seen_by_few, PATIENCE), Verdict::Replace);
+    let seen_by_all = missing(vec![observation(Some(100)); 6]);
+    assert_eq!(
+        decide_failover(&seen_by_all, FAILURE_TIMEOUT),
+        FailoverDecision::Keep
+    );
+    let seen_by_half = missing(vec![
+        observation(Some(100)),
+        observation(Some(50)),
+        observation(None),
+    ]);
+    assert_eq!(
+        decide_failover(&seen_by_half, FAILURE_TIMEOUT),
+        FailoverDecision::Keep
+    );
+    let seen_by_few = missing(vec![
+        observation(Some(100)),
+        observation(Some(2_000)),
+        observation(None),
+    ]);
+    assert_eq!(
+        decide_failover(&seen_by_few, FAILURE_TIMEOUT),
+        FailoverDecision::Replace
+    );
 }
 
 #[test]
 fn a_primary_is_given_its_time_to_answer() {
-    let mut early = missing(vec![sight(None); 6]);
-    early.missing_for = PATIENCE - Duration::from_millis(1);
-    assert_eq!(judge(&early, PATIENCE), Verdict::Keep);
+    let mut early = missing(vec![observation(None); 6]);
+    early.missing_for = FAILURE_TIMEOUT - Duration::from_millis(1);
+    assert_eq!(
+        decide_failover(&early, FAILURE_TIMEOUT),
+        FailoverDecision::Keep
+    );
 }
 
 #[test]
 fn a_node_that_hears_from_nobody_waits_for_the_directory() {
     let mut alone = missing(Vec::new());
-    assert_eq!(judge(&alone, PATIENCE), Verdict::Keep);
-    alone.listed = false;
-    assert_eq!(judge(&alone, PATIENCE), Verdict::Replace);
+    assert_eq!(
+        decide_failover(&alone, FAILURE_TIMEOUT),
+        FailoverDecision::Keep
+    );
+    alone.primary_listed = false;
+    assert_eq!(
+        decide_failover(&alone, FAILURE_TIMEOUT),
+        FailoverDecision::Replace
+    );
     let mut only_node = missing(Vec::new());
-    only_node.asked = 0;
-    assert_eq!(judge(&only_node, PATIENCE), Verdict::Replace);
+    only_node.peers_asked = 0;
+    assert_eq!(
+        decide_failover(&only_node, FAILURE_TIMEOUT),
+        FailoverDecision::Replace
+    );
 }
 
 /// In a cut that leaves the primary with some nodes, those go on with it under their leases.
 #[test]
 fn a_primary_that_others_may_use_is_given_longer() {
-    let mut cut_off = missing(vec![sight(None)]);
-    cut_off.listed = false;
-    cut_off.reaches_all = false;
-    assert_eq!(judge(&cut_off, PATIENCE), Verdict::Keep);
-    cut_off.missing_for = SPLIT_PATIENCE;
-    assert_eq!(judge(&cut_off, PATIENCE), Verdict::Replace);
+    let mut cut_off = missing(vec![observation(None)]);
+    cut_off.primary_listed = false;
+    cut_off.all_holders_reachable = false;
+    assert_eq!(
+        decide_failover(&cut_off, FAILURE_TIMEOUT),
+        FailoverDecision::Keep
+    );
+    cut_off.missing_for = PARTITION_TIMEOUT;
+    assert_eq!(
+        decide_failover(&cut_off, FAILURE_TIMEOUT),
+        FailoverDecision::Replace
+    );
 }
 
-fn candidate(offset: Option<u64>, staying: bool) -> Candidate {
-    Candidate {
+fn candidate(offset: Option<u64>, eligible: bool) -> SuccessorCandidate {
+    SuccessorCandidate {
         received: offset.map(|offset| Position::new(1, offset)),
-        staying,
-        fit: 0,
+        eligible,
+        placement_score: 0,
     }
 }
 
 #[test]
 fn among_replicas_that_received_as_much_the_one_that_fits_best_takes_over() {
-    let fitting = |offset, fit| Candidate {
-        fit,
+    let placed = |offset, placement_score| SuccessorCandidate {
+        placement_score,
         ..candidate(Some(offset), true)
     };
-    let equal = [fitting(5, 1), fitting(5, 9), fitting(5, 2)];
+    let equal = [placed(5, 1), placed(5, 9), placed(5, 2)];
     assert_eq!(choose_successor(&equal, 0), Some(1));
-    let ahead = [fitting(5, 9), fitting(6, 0)];
+    let ahead = [placed(5, 9), placed(6, 0)];
     assert_eq!(choose_successor(&ahead, 0), Some(1), "nothing is lost");
 }
 
@@ -298,8 +337,8 @@
     assert_eq!(choose_successor(&leaving_has_more, 1), None);
 }
 
-fn row_of(holder: &str) -> DutyRow {
-    DutyRow {
+fn row_of(holder: &str) -> PromotionLeaseRow {
+    PromotionLeaseRow {
         holder: holder.to_owned(),
         token: 4,
     }
@@ -307,23 +346,25 @@
 
 #[test]
 fn a_node_decides_without_a_holder_or_as_the_holder() {
-    let record = HolderRecord::new(at(1_000));
+    let record = HolderStatus::new(at(1_000));
     let row = row_of("a");
-    let step = |row: Option<&DutyRow>, own: &str| next_step(row, own, &record, at(1_000));
-    assert_eq!(step(None, "b"), DutyStep::Decide);
-    assert_eq!(step(Some(&row), "a"), DutyStep::Decide);
-    assert_eq!(step(Some(&row), "b"), DutyStep::AskHolder);
+    let step = |row: Option<&PromotionLeaseRow>, own: &str| {
+        next_promotion_step(row, own, &record, at(1_000))
+    };
+    assert_eq!(step(None, "b"), PromotionStep::Decide);
+    assert_eq!(step(Some(&row), "a"), PromotionStep::Decide);
+    assert_eq!(step(Some(&row), "b"), PromotionStep::AskHolder);
 }
 
 #[test]
 fn the_duty_is_taken_over_from_a_holder_that_leaves_questions_unanswered() {
     let row = row_of("a");
-    let mut record = HolderRecord::new(at(1_000));
-    record.note_question(at(1_000), false);
-    let step = |record: &HolderRecord, now| next_step(Some(&row), "b", record, at(now));
-    assert_eq!(step(&record, 1_500), DutyStep::AskHolder);
-    record.note_question(at(1_500), false);
-    assert_eq!(step(&record, 1_950), DutyStep::Decide);
+    let mut record = HolderStatus::new(at(1_000));
+    record.record_request(at(1_000), false);
+    let step = |record: &HolderStatus, now| next_promotion_step(Some(&row), "b", record, at(now));
+    assert_eq!(step(&record, 1_500), PromotionStep::AskHolder);
+    record.record_request(at(1_500), false);
+    assert_eq!(step(&record, 1_950), PromotionStep::Decide);
 }
 
 /// Found on a day with a crashed primary: the node had been answered and had then been busy asking
@@ -331,49 +372,49 @@
 #[test]
 fn time_without_a_question_does_not_count_against_a_holder() {
     let row = row_of("a");
-    let mut record = HolderRecord::new(at(1_000));
-    record.note_question(at(1_000), true);
-    let step = |record: &HolderRecord, now| next_step(Some(&row), "b", record, at(now));
-    assert_eq!(step(&record, 2_500), DutyStep::AskHolder);
-    record.note_question(at(2_500), false);
-    record.note_question(at(2_900), true);
-    assert_eq!(step(&record, 3_700), DutyStep::AskHolder);
+    let mut record = HolderStatus::new(at(1_000));
+    record.record_request(at(1_000), true);
+    let step = |record: &HolderStatus, now| next_promotion_step(Some(&row), "b", record, at(now));
+    assert_eq!(step(&record, 2_500), PromotionStep::AskHolder);
+    record.record_request(at(2_500), false);
+    record.record_request(at(2_900), true);
+    assert_eq!(step(&record, 3_700), PromotionStep::AskHolder);
 }
 
 #[test]
 fn a_holder_that_answers_and_does_nothing_loses_the_duty_in_the_end() {
     let row = row_of("a");
-    let mut record = HolderRecord::new(at(1_000));
-    record.note_question(at(13_900), true);
+    let mut record = HolderStatus::new(at(1_000));
+    record.record_request(at(13_900), true);
     assert_eq!(
-        next_step(Some(&row), "b", &record, at(13_900)),
-        DutyStep::AskHolder
+        next_promotion_step(Some(&row), "b", &record, at(13_900)),
+        PromotionStep::AskHolder
     );
     assert_eq!(
-        next_step(Some(&row), "b", &record, at(14_100)),
-        DutyStep::Decide
+        next_promotion_step(Some(&row), "b", &record, at(14_100)),
+        PromotionStep::Decide
     );
 }
 
 #[test]
 fn a_token_of_a_later_era_is_above_those_that_the_store_has_lost() {
     let era = |number| StoreEra::new(number).expect("a small number");
-    let mut lost = DutyRow::next(None, "a", era(1));
+    let mut lost = PromotionLeaseRow::next(None, "a", era(1));
     for _ in 0..1_000 {
-        lost = DutyRow::next(Some(&lost), "a", era(1));
+        lost = PromotionLeaseRow::next(Some(&lost), "a", era(1));
     }
-    let without_row = DutyRow::next(None, "b", era(2));
+    let without_row = PromotionLeaseRow::next(None, "b", era(2));
     assert!(without_row.token > lost.token);
-    let second = DutyRow::next(Some(&without_row), "b", era(2));
+    let second = PromotionLeaseRow::next(Some(&without_row), "b", era(2));
     assert!(second.token > without_row.token);
-    assert!(DutyRow::next(Some(&second), "b", era(3)).token > second.token);
+    assert!(PromotionLeaseRow::next(Some(&second), "b", era(3)).token > second.token);
 }
 
 #[test]
 fn each_decision_has_a_higher_token() {
-    let first = DutyRow::next(None, "a", StoreEra::UNTOLD);
-    let second = DutyRow::next(Some(&first), "a", StoreEra::UNTOLD);
-    let third = DutyRow::next(Some(&second), "b", StoreEra::UNTOLD);
+    let first = PromotionLeaseRow::next(None, "a", StoreEra::UNTOLD);
+    let second = PromotionLeaseRow::next(Some(&first), "a", StoreEra::UNTOLD);
+    let third = PromotionLeaseRow::next(Some(&second), "b", StoreEra::UNTOLD);
     assert_eq!((first.token, second.token, third.token), (1, 2, 3));
     assert_eq!(third.holder, "b");
 }
@@ -431,30 +472,38 @@
     );
 }
 
-fn lead_candidate(proved: bool, claims: bool, silent: bool, version: u64) -> LeadCandidate {
-    LeadCandidate {
+fn leader_candidate(
+    proved: bool,
+    claims_leadership: bool,
+    unresponsive: bool,
+    version: u64,
+) -> LeaderCandidate {
+    LeaderCandidate {
         proved,
-        claims,
-        silent,
+        claims_leadership,
+        unresponsive,
         version: StoreVersion::from_bits(version),
     }
 }
 
 #[test]
 fn the_lead_that_proved_itself_is_asked_first_while_it_answers() {
-    let proved = lead_candidate(true, false, false, 1);
-    let claiming = lead_candidate(false, true, false, 9);
-    assert_eq!(choose_lead(&[claiming, proved]), Some(1));
-    assert_eq!(choose_lead(&[]), None);
+    let proved = leader_candidate(true, false, false, 1);
+    let claiming = leader_candidate(false, true, false, 9);
+    assert_eq!(choose_leader_candidate(&[claiming, proved]), Some(1));
+    assert_eq!(choose_leader_candidate(&[]), None);
 }
 
 #[test]
 fn a_silent_lead_keeps_nobody_from_asking_the_others() {
-    let silent = lead_candidate(true, true, true, 9);
-    let replica = lead_candidate(false, false, false, 1);
-    let claiming = lead_candidate(false, true, false, 2);
-    assert_eq!(choose_lead(&[silent, replica, claiming]), Some(2));
-    assert_eq!(choose_lead(&[silent, replica]), Some(1));
-    let others_silent = lead_candidate(false, true, true, 2);
-    assert_eq!(choose_lead(&[others_silent, silent]), Some(1));
+    let silent = leader_candidate(true, true, true, 9);
+    let replica = leader_candidate(false, false, false, 1);
+    let claiming = leader_candidate(false, true, false, 2);
+    assert_eq!(
+        choose_leader_candidate(&[silent, replica, claiming]),
+        Some(2)
+    );
+    assert_eq!(choose_leader_candidate(&[silent, replica]), Some(1));
+    let others_silent = leader_candidate(false, true, true, 2);
+    assert_eq!(choose_leader_candidate(&[others_silent, silent]), Some(1));
 }
--- a/crates/spurpier-core/tests/lease.rs
+++ b/crates/spurpier-core/tests/lease.rs
@@ -13,7 +13,10 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, TestRunner};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
-use spurpier_core::lead::{LEASE, LEASE_MARGIN, ORDER_WINDOW, RoundState, YieldRound, holds_lease};
+use spurpier_core::leader::{
+    LEADER_LEASE, LEADER_LEASE_MARGIN, LeaseReleaseRound, PROMOTION_WINDOW, RoundState,
+    holds_leader_lease,
+};
 use spurpier_core::time::Timestamp;
 
 const DEFAULT_CASES: u64 = 400;
@@ -150,52 +153,52 @@
 const SENT: Timestamp = Timestamp::from_millis(100_000);
 const STORED: Timestamp = Timestamp::from_millis(100_010);
 
-fn round(others: &[&str]) -> YieldRound {
+fn round(others: &[&str]) -> LeaseReleaseRound {
     let others = others.iter().map(|&name| name.to_owned());
-    YieldRound::new(7, SENT, STORED, others)
+    LeaseReleaseRound::new(7, SENT, STORED, others)
 }
 
 #[test]
 fn a_round_in_which_all_have_yielded_orders_at_once() {
     let mut round = round(&["b", "c"]);
     let soon = STORED + Duration::from_millis(30);
-    assert_eq!(round.state(7, soon), RoundState::Await);
-    round.note_yielded("b", 7);
-    round.note_yielded("c", 6);
+    assert_eq!(round.state(7, soon), RoundState::Wait);
+    round.record_release("b", 7);
+    round.record_release("c", 6);
     assert_eq!(
         round.state(7, soon),
-        RoundState::Await,
+        RoundState::Wait,
         "c knows only an older one"
     );
-    round.note_yielded("c", 9);
-    assert_eq!(round.state(7, soon), RoundState::Order);
-    assert_eq!(round.state(8, soon), RoundState::Void);
-    let late = SENT + ORDER_WINDOW;
+    round.record_release("c", 9);
+    assert_eq!(round.state(7, soon), RoundState::Promote);
+    assert_eq!(round.state(8, soon), RoundState::Superseded);
+    let late = SENT + PROMOTION_WINDOW;
     assert_eq!(round.state(7, late), RoundState::Verify);
-    round.note_verified(late);
-    assert_eq!(round.state(7, late), RoundState::Order);
+    round.record_verification(late);
+    assert_eq!(round.state(7, late), RoundState::Promote);
 }
 
 #[test]
 fn a_silent_node_is_waited_for_until_its_lease_has_ended() {
     let mut round = round(&["b", "c"]);
-    round.note_yielded("b", 7);
-    let end = STORED + LEASE + LEASE_MARGIN;
+    round.record_release("b", 7);
+    let end = STORED + LEADER_LEASE + LEADER_LEASE_MARGIN;
     let before = end.before(Duration::from_millis(1));
-    assert_eq!(round.state(7, before), RoundState::Await);
+    assert_eq!(round.state(7, before), RoundState::Wait);
     assert_eq!(round.state(7, end), RoundState::Verify);
 }
 
 #[test]
 fn a_primary_that_stepped_down_is_waited_for_by_nobody() {
     let mut round = round(&["b", "c"]);
-    round.await_nobody();
-    assert_eq!(round.state(7, STORED), RoundState::Order);
+    round.clear_pending();
+    assert_eq!(round.state(7, STORED), RoundState::Promote);
 }
 
 #[test]
 fn a_lease_is_as_old_as_the_stores_news() {
-    assert!(!holds_lease(None, at(1_000)));
-    assert!(holds_lease(Some(at(1_000)), at(10_999)));
-    assert!(!holds_lease(Some(at(1_000)), at(11_000)));
+    assert!(!holds_leader_lease(None, at(1_000)));
+    assert!(holds_leader_lease(Some(at(1_000)), at(10_999)));
+    assert!(!holds_leader_lease(Some(at(1_000)), at(11_000)));
 }
--- a/crates/spurpier-core/tests/lease_model/mod.rs
+++ b/crates/spurpier-core/tests/lease_model/mod.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use proptest::prelude::*;
-use spurpier_core::lead::{RoundState, YieldRound, holds_lease};
+use spurpier_core::leader::{LeaseReleaseRound, RoundState, holds_leader_lease};
 use spurpier_core::time::Timestamp;
 
 /// How many nodes there are.
@@ -110,7 +110,7 @@
     own_version: u64,
     /// What the store has answered.
     unread: Option<StoreAnswer>,
-    round: Option<YieldRound>,
+    round: Option<LeaseReleaseRound>,
     /// An order that is under way: its token, and when it left.
     ordered: Option<(u64, Timestamp)>,
 }
@@ -136,7 +136,7 @@
         }
         let counts =
             |told_at: &Timestamp| *told_at > self.started_at || breakage == Breakage::FormerNews;
-        holds_lease(self.told_at.filter(counts), now)
+        holds_leader_lease(self.told_at.filter(counts), now)
     }
 }
 
@@ -277,7 +277,7 @@
         };
         let others = (0..NODES).filter(|other| *other != node && holders[*other]);
         let others = others.map(name);
-        let round = YieldRound::new(token, self.now, self.now, others);
+        let round = LeaseReleaseRound::new(token, self.now, self.now, others);
         self.nodes[node].token = token;
         self.nodes[node].round = Some(round);
     }
@@ -312,7 +312,7 @@
             }
             let yielding = &mut self.nodes[other];
             yielding.token = yielding.token.max(round.token());
-            round.note_yielded(&name(other), yielding.token);
+            round.record_release(&name(other), yielding.token);
         }
         self.nodes[node].round = Some(round);
     }
@@ -323,27 +323,27 @@
         };
         let mut newest = self.nodes[node].token;
         if self.breakage == Breakage::NoWait {
-            round.await_nobody();
+            round.clear_pending();
         }
         if self.breakage == Breakage::NoVerification {
-            round.note_verified(self.now);
+            round.record_verification(self.now);
             newest = round.token();
         }
         match round.state(newest, self.now) {
-            RoundState::Void => {}
-            RoundState::Order => {
+            RoundState::Superseded => {}
+            RoundState::Promote => {
                 self.nodes[node].ordered = Some((round.token(), self.now));
             }
             RoundState::Verify => {
                 let is_newest = self.stored == round.token();
                 if self.reaches_store(node) && is_newest {
-                    round.note_verified(self.now);
+                    round.record_verification(self.now);
                 }
                 if !self.reaches_store(node) || is_newest {
                     self.nodes[node].round = Some(round);
                 }
             }
-            RoundState::Await => self.nodes[node].round = Some(round),
+            RoundState::Wait => self.nodes[node].round = Some(round),
         }
     }
 
--- a/crates/spurpier-core/tests/ranks.rs
+++ b/crates/spurpier-core/tests/ranks.rs
@@ -6,7 +6,7 @@
 
 use proptest::prelude::*;
 use spurpier_core::homes::subject_digest;
-use spurpier_core::lead::{MOST_HOMES, RankedNode, WeightedScore, rank_homes};
+use spurpier_core::leader::{MAX_HOMES, RankedNode, WeightedScore, rank_homes};
 use spurpier_core::membership::NodeKey;
 use spurpier_core::ranks::{RankTable, Rankable};
 
@@ -66,7 +66,7 @@
     #[test]
     fn moved_ranks_are_those_that_are_computed_anew(
         changes in prop::collection::vec(change(), 0..150),
-        places in 1usize..=MOST_HOMES,
+        places in 1usize..=MAX_HOMES,
     ) {
         let mut table: RankTable<RankedNode, u64> = RankTable::new(places);
         let mut nodes = BTreeMap::new();
@@ -130,7 +130,7 @@
 
 /// How often nodes are scored for one row, on average over each node's going and coming back.
 fn scored_a_row(nodes: u64) -> f64 {
-    let mut table = RankTable::new(MOST_HOMES);
+    let mut table = RankTable::new(MAX_HOMES);
     for number in 0..SUBJECTS {
         table.add_subject(subject_digest(&subject(number)));
     }
--- a/crates/spurpier-pipeline/src/context.rs
+++ b/crates/spurpier-pipeline/src/context.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use spurpier_core::lead::{Distance, Succession, holds_lease};
+use spurpier_core::leader::{Distance, Succession, holds_leader_lease};
 use spurpier_core::retry::{RetryBudget, RetryBudgetSettings};
 use spurpier_core::store_version::StoreEra;
 use spurpier_core::time::Timestamp;
@@ -225,7 +225,8 @@
         let told_at = self.known_tables.told_at(Table::Cluster);
         let told_at = told_at.filter(|told_at| *told_at > self.clock.started_at());
         let version = self.known_tables.version(Table::Cluster);
-        holds_lease(told_at, self.clock.now()) && self.homes.may_hold_lease(&group.name, version)
+        holds_leader_lease(told_at, self.clock.now())
+            && self.homes.may_hold_lease(&group.name, version)
     }
 
     /// The groups whose primary this node has a use for: those that it is a home of, stands in for
--- a/crates/spurpier-pipeline/src/directory/mod.rs
+++ b/crates/spurpier-pipeline/src/directory/mod.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use spurpier_core::directory::{Place, Roster, RosterChange, RosterRow, Told};
+use spurpier_core::directory::{Roster, RosterChange, RosterRow, RowContent, ServerEndpoint};
 use spurpier_core::store_version::StoreVersion;
 use spurpier_core::time::Timestamp;
 use spurpier_events::log_event;
@@ -97,11 +97,11 @@
         let mut state = self.lock();
         let mut read: Vec<ReadRow<'_>> = rows.iter().map(ReadRow::new).collect();
         if read.iter().any(ReadRow::lacks_start) {
-            require_starts(&mut read, state.roster.count_starts());
+            require_starts(&mut read, state.roster.count_start_times());
         }
         let (roster_rows, mut entries) = self.note_read(&mut state, read);
         for row in roster_rows {
-            let change = state.roster.take(row);
+            let change = state.roster.apply(row);
             self.apply(&mut state, change, &mut entries, LogServers::Each);
         }
         self.tell_unusable(&state);
@@ -117,29 +117,29 @@
         let mut rows = Vec::with_capacity(read.len());
         for ReadRow { row, read } in read {
             let is_newer = state.roster.version(&row.key) < row.version;
-            let told = match read {
-                None => Told::Removed,
+            let content = match read {
+                None => RowContent::Removed,
                 Some(Err(why)) => {
                     if is_newer {
                         self.log_unusable(&row.key, row.version, why);
                         state.unusable.insert(row.key.clone(), why);
                     }
-                    Told::Unusable
+                    RowContent::Unusable
                 }
                 Some(Ok(entry)) => {
-                    let place = place_of(&entry);
+                    let endpoint = endpoint_of(&entry);
                     let version = row.version;
                     entries.insert(row.key.clone(), Listed { entry, version });
-                    Told::Server(place)
+                    RowContent::Server(endpoint)
                 }
             };
-            if is_newer && told != Told::Unusable {
+            if is_newer && content != RowContent::Unusable {
                 state.unusable.remove(&row.key);
             }
             rows.push(RosterRow {
                 key: row.key.clone(),
                 version: row.version,
-                told,
+                content,
             });
         }
         (rows, entries)
@@ -174,15 +174,15 @@
                     self.enter(state, listed, log);
                 }
             }
-            RosterChange::Leave(place) => {
-                state.set_aside.remove(place.incarnation.name());
-                state.unusable.remove(place.incarnation.name());
+            RosterChange::Leave(endpoint) => {
+                state.set_aside.remove(endpoint.incarnation.name());
+                state.unusable.remove(endpoint.incarnation.name());
                 let now = self.context.clock.now();
-                self.leave(&place, self.gone_at(now));
+                self.leave(&endpoint, self.gone_at(now));
             }
-            RosterChange::Invalidate(place) => {
-                state.set_aside.remove(place.incarnation.name());
-                self.leave(&place, self.context.clock.now());
+            RosterChange::Invalidate(endpoint) => {
+                state.set_aside.remove(endpoint.incarnation.name());
+                self.leave(&endpoint, self.context.clock.now());
             }
         }
     }
@@ -223,7 +223,7 @@
     }
 
     /// Ends what is known of a server's former life: who waits for it or uses it is told at once.
-    fn end_life(&self, former: &Place) {
+    fn end_life(&self, former: &ServerEndpoint) {
         if let Some(group) = self.context.known_group(&former.group) {
             group.remove(&former.incarnation);
         }
@@ -290,11 +290,11 @@
     }
 
     /// Takes in that no row names a server any more, which counts as gone from a moment on.
-    fn leave(&self, place: &Place, gone_at: Timestamp) {
-        let Some(group) = self.context.known_group(&place.group) else {
+    fn leave(&self, endpoint: &ServerEndpoint, gone_at: Timestamp) {
+        let Some(group) = self.context.known_group(&endpoint.group) else {
             return;
         };
-        let Some(server) = group.server(&place.incarnation) else {
+        let Some(server) = group.server(&endpoint.incarnation) else {
             return;
         };
         {
@@ -375,8 +375,8 @@
     }
 }
 
-fn place_of(entry: &ServerEntry) -> Place {
-    Place {
+fn endpoint_of(entry: &ServerEntry) -> ServerEndpoint {
+    ServerEndpoint {
         incarnation: entry.incarnation.clone(),
         group: entry.group.clone(),
         address: entry.address,
--- a/crates/spurpier-pipeline/src/duty/holder.rs
+++ b/crates/spurpier-pipeline/src/duty/holder.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use nanoserde::{DeBin, SerBin};
-use spurpier_core::lead::{DutyRow, Succession};
+use spurpier_core::leader::{PromotionLeaseRow, Succession};
 use spurpier_core::store_version::StoreVersion;
 use spurpier_core::time::Timestamp;
 use spurpier_events::log_event;
@@ -36,7 +36,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct KnownDuty {
     /// The row; none if there is none.
-    pub row: Option<DutyRow>,
+    pub row: Option<PromotionLeaseRow>,
     /// Its version; number 0 of the store's era if there is none.
     pub version: StoreVersion,
 }
@@ -98,7 +98,7 @@
     }
     let holder = read.rows.iter().find(|row| row.key == KEY);
     let holder = KnownDuty {
-        row: holder.and_then(|row| DutyRow::deserialize_bin(&row.value).ok()),
+        row: holder.and_then(|row| PromotionLeaseRow::deserialize_bin(&row.value).ok()),
         version: holder.map_or(read.version.absence(), |row| row.version),
     };
     if let Some(row) = &holder.row {
@@ -161,7 +161,7 @@
     deposed: Option<&Server>,
 ) -> Option<Decision> {
     let own_name = &context.settings.node.name;
-    let next = DutyRow::next(known.row.as_ref(), own_name, known.version.era());
+    let next = PromotionLeaseRow::next(known.row.as_ref(), own_name, known.version.era());
     let succession = Succession {
         token: next.token,
         successor: successor.server.incarnation.clone(),
--- a/crates/spurpier-pipeline/src/duty/messages.rs
+++ b/crates/spurpier-pipeline/src/duty/messages.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use nanoserde::{DeBin, DeBinErr, SerBin};
-use spurpier_core::lead::{Succession, SuccessorDetails};
+use spurpier_core::leader::{Succession, SuccessorDetails};
 use spurpier_core::position::Position;
 use spurpier_core::store_version::StoreVersion;
 use spurpier_core::wire::{List, LongText, decode_text, encode_text};
--- a/crates/spurpier-pipeline/src/duty/peers.rs
+++ b/crates/spurpier-pipeline/src/duty/peers.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use nanoserde::{DeBin, SerBin};
-use spurpier_core::lead::{Sight, Succession};
+use spurpier_core::leader::{PrimaryObservation, Succession};
 use spurpier_core::position::Position;
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
@@ -168,7 +168,7 @@
     ///
     /// Their proofs are taken in: what proved the lead to one node holds for all. A home that sees
     /// the primary becomes this node's way to it.
-    pub async fn sights(&self, group: &Group) -> (Vec<Sight>, usize) {
+    pub async fn sights(&self, group: &Group) -> (Vec<PrimaryObservation>, usize) {
         let homes = &self.context.homes_of(&group.name).others;
         let addresses: Vec<SocketAddr> = homes.iter().map(|home| home.address).collect();
         let question = |number| PeerMessage::AskSight {
@@ -188,16 +188,16 @@
             else {
                 continue;
             };
-            let proven_ago = decode_ago(*proven_ago_ms);
-            let sight = Sight { proven_ago };
-            if let Some(ago) = proven_ago {
+            let last_proof_age = decode_ago(*proven_ago_ms);
+            let observation = PrimaryObservation { last_proof_age };
+            if let Some(ago) = last_proof_age {
                 // The answer was given after the question was sent.
                 group.note_told_proof(asked_at.before(ago), *position);
             }
-            if relay.is_none() && sight.sees_primary() {
+            if relay.is_none() && observation.observes_primary() {
                 relay = Some(home.clone());
             }
-            sights.push(sight);
+            sights.push(observation);
         }
         if let Some(relay) = relay {
             group.set_relay(relay, self.context.clock.now());
--- a/crates/spurpier-pipeline/src/duty/round.rs
+++ b/crates/spurpier-pipeline/src/duty/round.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use nanoserde::SerBin;
-use spurpier_core::lead::{RoundState, Succession, YieldRound};
+use spurpier_core::leader::{LeaseReleaseRound, RoundState, Succession};
 use spurpier_core::store_version::StoreVersion;
 use spurpier_events::log_event;
 
@@ -44,7 +44,7 @@
     peers: &'a Peers,
     group: &'a Group,
     decision: &'a Decision,
-    round: YieldRound,
+    round: LeaseReleaseRound,
     holders: Vec<PeerNode>,
     /// Whether the holders are all that were listed when the decision was stored, or do not matter.
     is_complete: bool,
@@ -63,7 +63,7 @@
         decision: &'a Decision,
     ) -> Self {
         let holders = lease_holders(context, group);
-        let round = YieldRound::new(
+        let round = LeaseReleaseRound::new(
             decision.succession.token,
             decision.sent_at,
             decision.stored_at,
@@ -84,7 +84,7 @@
 
     /// Takes in that the former primary has stepped down: nobody can use it any more.
     pub fn note_stepped_down(&mut self) {
-        self.round.await_nobody();
+        self.round.clear_pending();
         self.is_complete = true;
     }
 
@@ -97,11 +97,11 @@
             }
             let now = self.context.clock.now();
             match self.round.state(self.group.token(), now) {
-                RoundState::Void => return None,
-                RoundState::Order if !self.is_complete => self.complete_holders().await?,
-                RoundState::Order => return Some(self.group.start_ordering()),
+                RoundState::Superseded => return None,
+                RoundState::Promote if !self.is_complete => self.complete_holders().await?,
+                RoundState::Promote => return Some(self.group.start_ordering()),
                 RoundState::Verify => self.verify().await?,
-                RoundState::Await => {
+                RoundState::Wait => {
                     self.ask_awaited().await;
                     self.log_awaited();
                     self.look_at_store().await;
@@ -124,7 +124,7 @@
         for holder in lease_holders(context, self.group) {
             let is_known = self.holders.iter().any(|known| known.name == holder.name);
             if !is_known {
-                self.round.await_also(holder.name.clone());
+                self.round.add_node(holder.name.clone());
                 self.holders.push(holder);
             }
         }
@@ -139,7 +139,7 @@
 
     async fn ask_awaited(&mut self) {
         let awaited = self.holders.iter();
-        let awaited = awaited.filter(|holder| self.round.awaits(&holder.name));
+        let awaited = awaited.filter(|holder| self.round.is_pending(&holder.name));
         let names: HashMap<SocketAddr, String> = awaited
             .map(|holder| (holder.address, holder.name.clone()))
             .collect();
@@ -155,7 +155,7 @@
         for (address, answer) in answers {
             if let (Some(name), PeerMessage::Yielded { token, .. }) = (names.get(&address), answer)
             {
-                self.round.note_yielded(name, token);
+                self.round.record_release(name, token);
             }
         }
     }
@@ -163,7 +163,7 @@
     fn log_awaited(&mut self) {
         let now = self.context.clock.now();
         let awaited = self.holders.iter();
-        let awaited = awaited.filter(|holder| self.round.awaits(&holder.name));
+        let awaited = awaited.filter(|holder| self.round.is_pending(&holder.name));
         let awaited: Vec<&str> = awaited.map(|holder| holder.name.as_str()).collect();
         let is_long = now.since(self.decision.stored_at) >= LOGGED_AFTER;
         if self.has_logged || awaited.is_empty() || !is_long {
@@ -186,7 +186,7 @@
                 .filter(|known| known.group == self.group.name)
                 .collect();
             for known in &self.stored {
-                self.round.note_yielded(&known.node, known.token);
+                self.round.record_release(&known.node, known.token);
             }
         }
         tokio::time::sleep(LOOK_PAUSE).await;
@@ -199,7 +199,7 @@
             let asked_at = self.context.clock.now();
             match confirm_decision(self.context, self.group, self.decision).await {
                 Some(true) => {
-                    self.round.note_verified(asked_at);
+                    self.round.record_verification(asked_at);
                     return Some(());
                 }
                 Some(false) => return None,
--- a/crates/spurpier-pipeline/src/duty/successor.rs
+++ b/crates/spurpier-pipeline/src/duty/successor.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use spurpier_core::directory::Incarnation;
-use spurpier_core::lead::{Candidate, choose_successor};
+use spurpier_core::leader::{SuccessorCandidate, choose_successor};
 use spurpier_core::position::Position;
 use spurpier_events::log_event;
 use tokio::time::timeout;
@@ -111,12 +111,12 @@
 fn choose(context: &Context, group: &Group, told: &[Told]) -> Option<Successor> {
     let now = context.clock.now();
     let places = &context.places;
-    let candidates: Vec<Candidate> = told
+    let candidates: Vec<SuccessorCandidate> = told
         .iter()
-        .map(|told| Candidate {
+        .map(|told| SuccessorCandidate {
             received: told.status.as_ref().map(|status| status.received),
-            staying: told.server.is_staying() && places.may_succeed(&told.server, now),
-            fit: places.fit(group, &told.server, now),
+            eligible: told.server.is_staying() && places.may_succeed(&told.server, now),
+            placement_score: places.fit(group, &told.server, now),
         })
         .collect();
     let chosen = choose_successor(&candidates, group.synchronous_replicas())?;
--- a/crates/spurpier-pipeline/src/duty/watch.rs
+++ b/crates/spurpier-pipeline/src/duty/watch.rs
@@ -4,7 +4,10 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use spurpier_core::lead::{DutyStep, HolderRecord, Missing, Verdict, judge, next_step};
+use spurpier_core::leader::{
+    FailoverDecision, HolderStatus, MissingPrimary, PromotionStep, decide_failover,
+    next_promotion_step,
+};
 use spurpier_core::time::Timestamp;
 use spurpier_events::log_event;
 use tokio::sync::mpsc;
@@ -125,7 +128,7 @@
     pub(super) group: Arc<Group>,
     missing_since: Option<Timestamp>,
     /// The duty as it was read, and what is known of its holder since.
-    holder: Option<(KnownDuty, HolderRecord)>,
+    holder: Option<(KnownDuty, HolderStatus)>,
     /// That a primary of an evacuated zone has stepped down.
     pub(super) step_down: Option<KnownStepDown>,
     /// When the look began that told what the group needs.
@@ -193,19 +196,19 @@
             return Need::Patience;
         }
         let claimant = self.claimant();
-        let (sights, reaches_all) = tokio::join!(
+        let (sights, all_holders_reachable) = tokio::join!(
             self.peers.sights(&self.group),
             self.peers.reaches_all(&self.group)
         );
-        let (peers, asked) = sights;
-        let missing = Missing {
+        let (peer_observations, peers_asked) = sights;
+        let missing = MissingPrimary {
             missing_for,
-            peers,
-            asked,
-            listed: claimant.is_some(),
-            reaches_all,
+            peer_observations,
+            peers_asked,
+            primary_listed: claimant.is_some(),
+            all_holders_reachable,
         };
-        if judge(&missing, PATIENCE) == Verdict::Keep {
+        if decide_failover(&missing, PATIENCE) == FailoverDecision::Keep {
             return Need::Patience;
         }
         log_event!(
@@ -213,8 +216,8 @@
             group = self.group.name,
             server = lead_name(claimant.as_deref()),
             missing_ms = missing_for.as_millis(),
-            peers = missing.peers.len(),
-            asked = missing.asked
+            peers = missing.peer_observations.len(),
+            asked = missing.peers_asked
         );
         match claimant {
             Some(claimant) if self.still_leads_evacuated(&claimant).await => {
@@ -253,16 +256,16 @@
         let now = self.context.clock.now();
         let record = match &self.holder {
             Some((known, record)) if *known == duty => *record,
-            _ => HolderRecord::new(now),
+            _ => HolderStatus::new(now),
         };
         self.holder = Some((duty.clone(), record));
         let own_name = self.context.settings.node.name.as_str();
-        match next_step(duty.row.as_ref(), own_name, &record, now) {
-            DutyStep::Decide => match (former, planned) {
+        match next_promotion_step(duty.row.as_ref(), own_name, &record, now) {
+            PromotionStep::Decide => match (former, planned) {
                 (Some(former), Some(reason)) => self.hand_over(&duty, former, reason).await,
                 (former, _) => self.replace(&duty, former).await,
             },
-            DutyStep::AskHolder => self.ask_holder(&duty).await,
+            PromotionStep::AskHolder => self.ask_holder(&duty).await,
         }
     }
 
@@ -275,7 +278,7 @@
         let region = self.context.places.demand.wish(group, asked_at);
         let heard = self.peers.tell_holder(&row.holder, group, region).await;
         if let Some((_, record)) = &mut self.holder {
-            record.note_question(asked_at, heard);
+            record.record_request(asked_at, heard);
         }
     }
 
--- a/crates/spurpier-pipeline/src/forward/server.rs
+++ b/crates/spurpier-pipeline/src/forward/server.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use spurpier_core::lead::OwnCommit;
+use spurpier_core::leader::SessionCommit;
 use spurpier_core::store_version::StoreVersion;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{OwnedSemaphorePermit, mpsc};
@@ -399,7 +399,7 @@
             allowed_regions: allowed_regions.clone(),
         });
         // The acknowledgement came before the call; any later moment asks for more.
-        let own_commit = head.own_commit.map(|position| OwnCommit {
+        let own_commit = head.own_commit.map(|position| SessionCommit {
             position,
             acknowledged_at: now,
         });
--- a/crates/spurpier-pipeline/src/group.rs
+++ b/crates/spurpier-pipeline/src/group.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use spurpier_core::directory::Incarnation;
-use spurpier_core::lead::{
-    LeadCandidate, LeadKnowledge, NotProved, OwnCommit, Proof, Shown, Succession, choose_lead,
-    read_floor,
+use spurpier_core::leader::{
+    LeaderCandidate, LeaderView, LeadershipProof, ObservedPosition, ProofError, SessionCommit,
+    Succession, choose_leader_candidate, read_floor,
 };
 use spurpier_core::position::Position;
 use spurpier_core::time::Timestamp;
@@ -27,7 +27,7 @@
 #[derive(Debug, Default)]
 struct GroupInner {
     servers: BTreeMap<Incarnation, Arc<Server>>,
-    leading: LeadKnowledge,
+    leading: LeaderView,
     proving: bool,
     synchronous_replicas: usize,
     /// The token of the newest succession that its deciding node has asked this one to yield to.
@@ -85,7 +85,7 @@
         let incarnation = server.incarnation.clone();
         {
             let mut inner = self.lock();
-            inner.leading.join(incarnation.clone());
+            inner.leading.add_incarnation(incarnation.clone());
             inner.servers.insert(incarnation, server);
         }
         self.notify();
@@ -95,7 +95,7 @@
     pub fn remove(&self, incarnation: &Incarnation) {
         let removed = {
             let mut inner = self.lock();
-            inner.leading.end_life(incarnation);
+            inner.leading.remove_incarnation(incarnation);
             inner.servers.remove(incarnation)
         };
         if let Some(server) = removed {
@@ -106,7 +106,7 @@
 
     /// Forgets all other lives of a server that are known.
     pub fn remove_other_lives(&self, present: &Incarnation) {
-        let others = self.lock().leading.other_lives_of(present);
+        let others = self.lock().leading.other_incarnations_of(present);
         for other in &others {
             self.remove(other);
         }
@@ -115,7 +115,9 @@
     /// Takes in that a server's entry changed: it may be asked for the lead again.
     pub fn note_entry(&self, incarnation: &Incarnation, role: ServerRole) {
         let claims_lead = role == ServerRole::Primary;
-        self.lock().leading.note_entry(incarnation, claims_lead);
+        self.lock()
+            .leading
+            .record_entry_change(incarnation, claims_lead);
         self.notify();
     }
 
@@ -132,29 +134,29 @@
     /// The server that proved the lead last, unless it has lost it since.
     pub fn lead(&self) -> Option<Arc<Server>> {
         let inner = self.lock();
-        inner.servers.get(inner.leading.lead()?).map(Arc::clone)
+        inner.servers.get(inner.leading.leader()?).map(Arc::clone)
     }
 
     /// Whether this server was the last one that proved the lead to this node.
     pub fn led_last(&self, incarnation: &Incarnation) -> bool {
-        self.lock().leading.led_last(incarnation)
+        self.lock().leading.was_last_leader(incarnation)
     }
 
     /// The server to ask for the lead next; none while all have just refused.
     ///
-    /// [`choose_lead`] chooses among those that have not just refused. A server that leaves may lead for `leaving_use` at most.
+    /// [`choose_leader_candidate`] chooses among those that have not just refused. A server that leaves may lead for `leaving_use` at most.
     pub fn lead_candidate(&self, now: Timestamp, leaving_use: Duration) -> Option<Arc<Server>> {
         let inner = self.lock();
         let may_lead = |server: &&Arc<Server>| {
             let leaving_for = server.leaving_for(now).unwrap_or_default();
-            inner.leading.may_be_asked(&server.incarnation, now) && leaving_for < leaving_use
+            inner.leading.is_leader_candidate(&server.incarnation, now) && leaving_for < leaving_use
         };
         let servers: Vec<&Arc<Server>> = inner.servers.values().filter(may_lead).collect();
-        let candidates: Vec<LeadCandidate> = servers
+        let candidates: Vec<LeaderCandidate> = servers
             .iter()
-            .map(|server| lead_candidate(server, inner.leading.lead()))
+            .map(|server| lead_candidate(server, inner.leading.leader()))
             .collect();
-        choose_lead(&candidates).map(|index| Arc::clone(servers[index]))
+        choose_leader_candidate(&candidates).map(|index| Arc::clone(servers[index]))
     }
 
     /// The newest succession; none if there was none.
@@ -189,10 +191,10 @@
     pub fn take_succession(&self, succession: &Succession, now: Timestamp) -> bool {
         {
             let mut inner = self.lock();
-            if !inner.leading.take_succession(succession, now) {
+            if !inner.leading.apply_succession(succession, now) {
                 return false;
             }
-            if inner.leading.lead().is_none() {
+            if inner.leading.leader().is_none() {
                 inner.relay = None;
             }
         }
@@ -228,16 +230,18 @@
     ///
     /// # Errors
     ///
-    /// [`NotProved`] if that says nothing of the group's log.
+    /// [`ProofError`] if that says nothing of the group's log.
     pub fn note_proof(
         &self,
         server: &Server,
-        proof: Proof,
+        proof: LeadershipProof,
         now: Timestamp,
-    ) -> Result<(), NotProved> {
+    ) -> Result<(), ProofError> {
         let is_new = {
             let mut inner = self.lock();
-            let is_new = inner.leading.note_proof(&server.incarnation, proof, now)?;
+            let is_new = inner
+                .leading
+                .record_proof(&server.incarnation, proof, now)?;
             inner.relay = None;
             is_new
         };
@@ -257,36 +261,38 @@
     ///
     /// # Errors
     ///
-    /// [`NotProved`] if it cannot be the lead that was known.
-    pub fn check_shown(&self, server: &Server, shown: Proof) -> Result<(), NotProved> {
-        self.lock().leading.check_shown(&server.incarnation, shown)
+    /// [`ProofError`] if it cannot be the lead that was known.
+    pub fn check_shown(&self, server: &Server, shown: LeadershipProof) -> Result<(), ProofError> {
+        self.lock()
+            .leading
+            .check_position(&server.incarnation, shown)
     }
 
     /// Takes in a proof that another node has told of.
     pub fn note_told_proof(&self, sent_at: Timestamp, position: Position) {
-        let proof = Proof { sent_at, position };
-        self.lock().leading.note_told_proof(proof);
+        let proof = LeadershipProof { sent_at, position };
+        self.lock().leading.record_reported_proof(proof);
         self.notify();
     }
 
     /// The newest proof that this node had itself.
-    pub fn own_proof(&self) -> Option<Proof> {
+    pub fn own_proof(&self) -> Option<LeadershipProof> {
         self.lock().leading.own_proof()
     }
 
     /// Takes in the position that a server has shown.
     pub fn note_shown(&self, server: &Server, position: Position, now: Timestamp) {
-        let lag = self.lock().leading.evidence().lag_behind(position, now);
-        server.health().shown = Some(Shown {
+        let lag = self.lock().leading.proofs().replication_lag(position, now);
+        server.health().shown = Some(ObservedPosition {
             position,
-            at: now,
+            observed_at: now,
             lag,
         });
     }
 
     /// Takes in that a server refused as one that does not lead.
     pub fn note_denial(&self, server: &Server, now: Timestamp) {
-        let lost = self.lock().leading.note_denial(&server.incarnation, now);
+        let lost = self.lock().leading.record_refusal(&server.incarnation, now);
         if lost {
             log_event!(
                 events::LEAD_LOST,
@@ -297,8 +303,8 @@
     }
 
     /// The position that a read must find; none while no proof is new enough.
-    pub fn read_floor(&self, since: Timestamp, own: Option<OwnCommit>) -> Option<Position> {
-        read_floor(self.lock().leading.evidence(), since, own)
+    pub fn read_floor(&self, since: Timestamp, own: Option<SessionCommit>) -> Option<Position> {
+        read_floor(self.lock().leading.proofs(), since, own)
     }
 
     /// Notes a node that reaches the lead while this one does not.
@@ -335,7 +341,7 @@
 
     /// When the message of the newest proof left.
     pub fn proven_at(&self) -> Option<Timestamp> {
-        let newest = self.lock().leading.evidence().newest();
+        let newest = self.lock().leading.proofs().newest();
         newest.map(|proof| proof.sent_at)
     }
 
@@ -359,13 +365,13 @@
     }
 }
 
-fn lead_candidate(server: &Server, lead: Option<&Incarnation>) -> LeadCandidate {
-    let silent = server.health().is_silent();
+fn lead_candidate(server: &Server, lead: Option<&Incarnation>) -> LeaderCandidate {
+    let unresponsive = server.health().is_silent();
     let listing = server.listing();
-    LeadCandidate {
+    LeaderCandidate {
         proved: lead == Some(&server.incarnation),
-        claims: listing.entry.role == ServerRole::Primary && !listing.gone,
-        silent,
+        claims_leadership: listing.entry.role == ServerRole::Primary && !listing.gone,
+        unresponsive,
         version: listing.version,
     }
 }
--- a/crates/spurpier-pipeline/src/homes/chosen.rs
+++ b/crates/spurpier-pipeline/src/homes/chosen.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use spurpier_core::homes::{rendezvous_score, subject_digest};
-use spurpier_core::lead::{Distance, RankedNode, rank_homes};
+use spurpier_core::leader::{Distance, RankedNode, rank_homes};
 use spurpier_core::membership::NodeKey;
 use spurpier_core::quota::{NodePlace, choose_apart};
 
--- a/crates/spurpier-pipeline/src/homes/fleet.rs
+++ b/crates/spurpier-pipeline/src/homes/fleet.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use spurpier_core::homes::subject_digest;
-use spurpier_core::lead::{MOST_HOMES, RankedNode, homes_per_zone};
+use spurpier_core::leader::{MAX_HOMES, RankedNode, homes_per_zone};
 use spurpier_core::membership::NodeKey;
 use spurpier_core::ranks::{Moved, RankTable, Rankable};
 
@@ -64,7 +64,7 @@
     /// A fleet without nodes.
     pub(super) fn new() -> Self {
         Fleet {
-            ranks: RankTable::new(MOST_HOMES),
+            ranks: RankTable::new(MAX_HOMES),
             nodes: HashMap::new(),
             groups: Vec::new(),
             numbers: HashMap::new(),
@@ -119,7 +119,7 @@
 
     fn current_shape(&self) -> Shape {
         Shape {
-            nodes: self.ranks.node_count().min(MOST_HOMES + 1),
+            nodes: self.ranks.node_count().min(MAX_HOMES + 1),
             zones: self.ranks.zone_count(),
         }
     }
--- a/crates/spurpier-pipeline/src/homes/mod.rs
+++ b/crates/spurpier-pipeline/src/homes/mod.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use spurpier_core::homes::{rendezvous_score, subject_digest};
-use spurpier_core::lead::{Distance, LEASE, LEASE_MARGIN};
+use spurpier_core::leader::{Distance, LEADER_LEASE, LEADER_LEASE_MARGIN};
 use spurpier_core::membership::NodeKey;
 use spurpier_core::store_version::{StoreEra, StoreVersion};
 use spurpier_core::time::Timestamp;
@@ -186,7 +186,7 @@
 }
 
 /// After so long a node that was taken off the list cannot use a lead any more.
-const LEASES_END: Duration = LEASE.saturating_add(LEASE_MARGIN);
+const LEASES_END: Duration = LEADER_LEASE.saturating_add(LEADER_LEASE_MARGIN);
 
 /// The nodes that are listed, and the homes of groups.
 #[derive(Debug)]
--- a/crates/spurpier-pipeline/src/membership.rs
+++ b/crates/spurpier-pipeline/src/membership.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use nanoserde::{DeBin, SerBin};
-use spurpier_core::lead::Succession;
+use spurpier_core::leader::Succession;
 use spurpier_core::store_version::StoreVersion;
 use spurpier_events::log_event;
 use tokio::sync::watch;
--- a/crates/spurpier-pipeline/src/node_entry.rs
+++ b/crates/spurpier-pipeline/src/node_entry.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use nanoserde::{DeBin, DeBinErr, SerBin};
-use spurpier_core::lead::RankedNode;
+use spurpier_core::leader::RankedNode;
 use spurpier_core::membership::NodeKey;
 use spurpier_core::store_version::StoreVersion;
 use spurpier_core::wire::{
--- a/crates/spurpier-pipeline/src/server/connection.rs
+++ b/crates/spurpier-pipeline/src/server/connection.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use spurpier_core::lead::Proof;
+use spurpier_core::leader::LeadershipProof;
 use spurpier_core::position::Position;
 use spurpier_core::time::Timestamp;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -84,7 +84,7 @@
     busy: bool,
     state: TransactionState,
     /// What the server showed of its log when the connection was opened, and when that was asked.
-    pub first_shown: Proof,
+    pub first_shown: LeadershipProof,
     /// Whom it was opened for.
     pub caller: String,
     /// The session values that were set on it.
@@ -122,7 +122,7 @@
             unread: 0,
             busy: false,
             state: TransactionState::Idle,
-            first_shown: Proof {
+            first_shown: LeadershipProof {
                 sent_at: now,
                 position: Position::ZERO,
             },
--- a/crates/spurpier-pipeline/src/server/health.rs
+++ b/crates/spurpier-pipeline/src/server/health.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use spurpier_core::lead::Shown;
+use spurpier_core::leader::ObservedPosition;
 use spurpier_core::time::Timestamp;
 
 /// The weight of the newest answer's time, in sixteenths.
@@ -23,7 +23,7 @@
     /// Requests that run on it or wait for a connection to it.
     pub in_flight: usize,
     /// What it was last seen to show of the group's log.
-    pub shown: Option<Shown>,
+    pub shown: Option<ObservedPosition>,
     /// Until when it is passed over.
     pub avoided_until: Timestamp,
     /// When the newest message left that it has answered.
--- a/crates/spurpier-pipeline/src/server/mod.rs
+++ b/crates/spurpier-pipeline/src/server/mod.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use spurpier_core::directory::Incarnation;
-use spurpier_core::lead::{Distance, ServerLoad};
+use spurpier_core::leader::{Distance, ServerLoad};
 use spurpier_core::places::Phase;
 use spurpier_core::store_version::StoreVersion;
 use spurpier_core::time::Timestamp;
@@ -112,7 +112,7 @@
     }
 
     /// What a read's placement must know of it.
-    pub fn load(&self, leads: bool) -> ServerLoad {
+    pub fn load(&self, is_leader: bool) -> ServerLoad {
         let (staying, slots) = {
             let listing = self.listing();
             let staying = listing.is_staying(self.clock.now());
@@ -124,10 +124,10 @@
             answer_time: health.answer_time,
             in_flight: health.in_flight,
             slots,
-            shown: health.shown,
+            observed: health.shown,
             avoided_until: health.avoided_until,
-            takes_reads: staying,
-            leads,
+            accepts_reads: staying,
+            is_leader,
         }
     }
 
--- a/crates/spurpier-pipeline/src/session/state.rs
+++ b/crates/spurpier-pipeline/src/session/state.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use spurpier_core::lead::OwnCommit;
+use spurpier_core::leader::SessionCommit;
 use tokio::time::Instant;
 
 use crate::context::Context;
@@ -36,7 +36,7 @@
     pub(super) values: Values,
     pub(super) prepared: HashMap<String, Prepared>,
     /// The last commit, and the group in whose log it stands.
-    pub(super) own_commit: Option<(String, OwnCommit)>,
+    pub(super) own_commit: Option<(String, SessionCommit)>,
     pub(super) transaction: Option<PlacedTransaction>,
     /// When the last statement of the open transaction was answered.
     pub(super) rests_since: Instant,
--- a/crates/spurpier-pipeline/src/session/statements.rs
+++ b/crates/spurpier-pipeline/src/session/statements.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use spurpier_core::lead::OwnCommit;
+use spurpier_core::leader::SessionCommit;
 use spurpier_core::position::Position;
 use tokio::time::Instant;
 
@@ -204,7 +204,7 @@
     }
 
     fn note_commit(&mut self, group: &str, position: Position) {
-        let commit = OwnCommit {
+        let commit = SessionCommit {
             position,
             acknowledged_at: self.context.clock.now(),
         };
--- a/crates/spurpier-pipeline/src/unit/lead.rs
+++ b/crates/spurpier-pipeline/src/unit/lead.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use spurpier_core::lead::{NotProved, Proof};
+use spurpier_core::leader::{LeadershipProof, ProofError};
 use spurpier_core::places::AllowedRegions;
 use spurpier_core::position::Position;
 use spurpier_core::time::Timestamp;
@@ -165,7 +165,7 @@
     position: Option<Position>,
 ) -> bool {
     let position = position.unwrap_or(Position::ZERO);
-    let proof = Proof { sent_at, position };
+    let proof = LeadershipProof { sent_at, position };
     let Err(why) = group.note_proof(server, proof, context.clock.now()) else {
         return true;
     };
@@ -178,12 +178,12 @@
     context: &Context,
     group: &Group,
     server: &Server,
-    why: NotProved,
+    why: ProofError,
     position: Position,
 ) {
     let now = context.clock.now();
     group.note_denial(server, now);
-    if why == NotProved::LogLost
+    if why == ProofError::LogLost
         && let Some(suppressed) = context.log_budget.take(events::LEAD_LOST_LOG, now)
     {
         log_event!(
--- a/crates/spurpier-pipeline/src/unit/mod.rs
+++ b/crates/spurpier-pipeline/src/unit/mod.rs
@@ -20,7 +20,7 @@
 use std::time::Duration;
 
 use rand::seq::IteratorRandom;
-use spurpier_core::lead::{Distance, OwnCommit};
+use spurpier_core::leader::{Distance, SessionCommit};
 use spurpier_core::places::AllowedRegions;
 use spurpier_core::position::Position;
 use spurpier_events::{Event, log_event};
@@ -58,7 +58,7 @@
     /// The session's values.
     pub values: Values,
     /// The session's last commit in this group.
-    pub own_commit: Option<OwnCommit>,
+    pub own_commit: Option<SessionCommit>,
     /// Its limits in time.
     pub times: Times,
     /// The version of the configuration that has the route.
--- a/crates/spurpier-pipeline/src/unit/read.rs
+++ b/crates/spurpier-pipeline/src/unit/read.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use spurpier_core::directory::Incarnation;
-use spurpier_core::lead::{ServerLoad, choose_read_server};
+use spurpier_core::leader::{ServerLoad, choose_read_server};
 use spurpier_core::position::Position;
 use spurpier_core::time::Timestamp;
 
@@ -184,7 +184,7 @@
                 .map(|server| {
                     let load = server.load(leads(server));
                     ServerLoad {
-                        takes_reads: load.takes_reads && is_usable(server),
+                        accepts_reads: load.accepts_reads && is_usable(server),
                         avoided_until: if server.is_evacuated() {
                             NO_END
                         } else {
--- a/crates/spurpier-pipeline/tests/homes.rs
+++ b/crates/spurpier-pipeline/tests/homes.rs
@@ -6,7 +6,9 @@
 
 use proptest::prelude::*;
 use spurpier_core::homes::subject_digest;
-use spurpier_core::lead::{Distance, LEASE, LEASE_MARGIN, RankedNode, homes_per_zone, rank_homes};
+use spurpier_core::leader::{
+    Distance, LEADER_LEASE, LEADER_LEASE_MARGIN, RankedNode, homes_per_zone, rank_homes,
+};
 use spurpier_core::membership::NodeKey;
 use spurpier_core::store_version::{StoreEra, StoreVersion};
 use spurpier_core::time::Timestamp;
@@ -288,7 +290,7 @@
     // What is told of them in the new era changes nothing of what they may have registered for.
     let later = vec![(name(2), Some(listed_in(2, &node(0)))), (name(2), None)];
     homes.change(later, returned_at);
-    let ended = returned_at + LEASE + LEASE_MARGIN;
+    let ended = returned_at + LEADER_LEASE + LEADER_LEASE_MARGIN;
     let last = Timestamp::from_micros(ended.as_micros() - 1);
     assert_eq!(holders(last), [name(1), name(2), name(3)]);
     assert_eq!(holders(ended), [name(3)]);
