--- a/crates/spurpier-core/tests/ranks.rs
+++ b/crates/spurpier-core/tests/ranks.rs
@@ -6,7 +6,7 @@
 
 use proptest::prelude::*;
 use spurpier_core::homes::subject_digest;
-use spurpier_core::lead::{MOST_HOMES, RankedNode, WeightedScore, rank_homes};
+use spurpier_core::leader::{MAX_HOMES, RankedNode, WeightedScore, rank_homes};
 use spurpier_core::membership::NodeKey;
 use spurpier_core::ranks::{RankTable, Rankable};
 
@@ -68,7 +68,7 @@
     #[test]
     fn incremental_rankings_match_recomputation(
         changes in prop::collection::vec(change(), 0..150),
-        ranks_per_zone in 1usize..=MOST_HOMES,
+        ranks_per_zone in 1usize..=MAX_HOMES,
     ) {
         let mut table: RankTable<RankedNode, u64> = RankTable::new(ranks_per_zone);
         let mut nodes = BTreeMap::new();
@@ -132,7 +132,7 @@
 
 /// How often nodes are scored for one row, on average over each node's going and coming back.
 fn scores_per_change(nodes: u64) -> f64 {
-    let mut table = RankTable::new(MOST_HOMES);
+    let mut table = RankTable::new(MAX_HOMES);
     for number in 0..SUBJECTS {
         table.add_subject(subject_digest(&subject(number)));
     }
