--- a/crates/spurpier-core/src/places/demand.rs
+++ b/crates/spurpier-core/src/locality/demand.rs
@@ -8,10 +8,10 @@
 
 /// How many sets of regions are told apart for a group. They come from routes and tenants; what
 /// goes beyond counts for none, so that no configuration makes the counts grow.
-pub const MOST_SETS: usize = 16;
+pub const MAX_REGION_SETS: usize = 16;
 /// Over what time work counts: it fades by a factor of e in so long. Some seconds of a burst weigh
 /// less than what has been asked for all along.
-const FADING: Duration = Duration::from_secs(10);
+const DECAY_TIME: Duration = Duration::from_secs(10);
 
 /// Units that need the primary and may run only in these regions.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -36,7 +36,7 @@
         };
         if let Some(units) = self.units.get_mut(regions) {
             *units = units.saturating_add(1);
-        } else if self.units.len() < MOST_SETS {
+        } else if self.units.len() < MAX_REGION_SETS {
             self.units.insert(regions.clone(), 1);
         }
     }
@@ -54,47 +54,47 @@
 
 /// What is asked for of a group's primary, faded with its age.
 #[derive(Debug, Clone, Default)]
-pub struct DemandLevels {
-    levels: BTreeMap<BTreeSet<String>, f64>,
-    faded_at: Timestamp,
+pub struct DecayingDemand {
+    units: BTreeMap<BTreeSet<String>, f64>,
+    decayed_at: Timestamp,
 }
 
-impl DemandLevels {
+impl DecayingDemand {
     /// Takes in units that were just asked for.
-    pub fn note(&mut self, demand: &[RegionDemand], now: Timestamp) {
-        self.fade(now);
+    pub fn record(&mut self, demand: &[RegionDemand], now: Timestamp) {
+        self.decay(now);
         for set in demand {
-            if let Some(level) = self.levels.get_mut(&set.regions) {
-                *level += f64::from(set.units);
-            } else if self.levels.len() < MOST_SETS {
-                let level = f64::from(set.units);
-                self.levels.insert(set.regions.clone(), level);
+            if let Some(units) = self.units.get_mut(&set.regions) {
+                *units += f64::from(set.units);
+            } else if self.units.len() < MAX_REGION_SETS {
+                let units = f64::from(set.units);
+                self.units.insert(set.regions.clone(), units);
             }
         }
     }
 
     /// Fades what is known, and forgets what has faded away.
-    pub fn fade(&mut self, now: Timestamp) {
+    pub fn decay(&mut self, now: Timestamp) {
         /// A level that no decision depends on.
-        const FORGOTTEN: f64 = 0.01;
-        let age = now.since(self.faded_at);
-        let factor = (-age.as_secs_f64() / FADING.as_secs_f64()).exp();
-        self.faded_at = self.faded_at.max(now);
-        self.levels.retain(|_, level| {
-            *level *= factor;
-            *level >= FORGOTTEN
+        const MIN_UNITS: f64 = 0.01;
+        let age = now.since(self.decayed_at);
+        let factor = (-age.as_secs_f64() / DECAY_TIME.as_secs_f64()).exp();
+        self.decayed_at = self.decayed_at.max(now);
+        self.units.retain(|_, units| {
+            *units *= factor;
+            *units >= MIN_UNITS
         });
     }
 
     /// All that is asked for within bounds.
     pub fn total(&self) -> f64 {
-        self.levels.values().sum()
+        self.units.values().sum()
     }
 
     /// What a primary in a region may run of it.
     pub fn allowed_in(&self, region: &str) -> f64 {
-        let levels = self.levels.iter();
-        let allowed = levels.filter(|(regions, _)| regions.contains(region));
-        allowed.map(|(_, level)| level).sum()
+        let units = self.units.iter();
+        let allowed = units.filter(|(regions, _)| regions.contains(region));
+        allowed.map(|(_, units)| units).sum()
     }
 }
--- a/crates/spurpier-core/src/places/evacuation.rs
+++ b/crates/spurpier-core/src/locality/evacuation.rs
@@ -12,19 +12,19 @@
 
 /// For how long the store may hold back a change while it tells that nothing has changed, as in
 /// [`LEASE_MARGIN`](crate::lead::LEASE_MARGIN).
-pub const HELD_BACK: Duration = Duration::from_millis(1_000);
+pub const MAX_STORE_LAG: Duration = Duration::from_millis(1_000);
 /// What is kept of the bound for the way to a server, for a write that its link delays, and for
 /// clocks that drift: 20 ms of way between regions, and half a second at which a link counts as
 /// overloaded.
-pub const WAY_MARGIN: Duration = Duration::from_millis(500);
+pub const DELIVERY_MARGIN: Duration = Duration::from_millis(500);
 
 /// What may be sent to the servers of a zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Phase {
+pub enum ZonePhase {
     /// Anything.
     Open,
     /// It is evacuated: what no server elsewhere can run.
-    Leaving,
+    Evacuating,
     /// Nothing.
     Closed,
 }
@@ -35,13 +35,13 @@
     /// Zones that are evacuated from now on.
     pub evacuated: Vec<String>,
     /// Zones that are not evacuated any more.
-    pub taken_back: Vec<String>,
+    pub reopened: Vec<String>,
 }
 
 impl EvacuationChanges {
     /// Whether nothing has changed.
     pub fn is_empty(&self) -> bool {
-        self.evacuated.is_empty() && self.taken_back.is_empty()
+        self.evacuated.is_empty() && self.reopened.is_empty()
     }
 }
 
@@ -53,7 +53,7 @@
     /// When the evacuated zones are closed, by their names.
     closes_at: BTreeMap<String, Timestamp>,
     /// The store's version at which zones were known to be taken back, by their names.
-    taken_back_at: BTreeMap<String, StoreVersion>,
+    reopened_at: BTreeMap<String, StoreVersion>,
     /// The store's version at which the rows were first known.
     first_version: Option<StoreVersion>,
 }
@@ -64,20 +64,20 @@
         Evacuations {
             bound,
             closes_at: BTreeMap::new(),
-            taken_back_at: BTreeMap::new(),
+            reopened_at: BTreeMap::new(),
             first_version: None,
         }
     }
 
     /// Takes in which zones are evacuated as of a version of the store.
     ///
-    /// `told_before` is up to when the store had told of the rows as they were known before; none if
+    /// `last_reported_at` is up to when the store had told of the rows as they were known before; none if
     /// nothing was, so that a row may be of any age.
-    pub fn take(
+    pub fn apply(
         &mut self,
         zones: &BTreeSet<String>,
         version: StoreVersion,
-        told_before: Option<Timestamp>,
+        last_reported_at: Option<Timestamp>,
     ) -> EvacuationChanges {
         self.first_version.get_or_insert(version);
         let known = std::mem::take(&mut self.closes_at);
@@ -87,20 +87,22 @@
             if closes_at.is_none() {
                 changes.evacuated.push(zone.clone());
             }
-            let closes_at = closes_at.unwrap_or_else(|| self.closing(told_before));
+            let closes_at = closes_at.unwrap_or_else(|| self.closing_time(last_reported_at));
             self.closes_at.insert(zone.clone(), closes_at);
         }
         for zone in known.into_keys().filter(|zone| !zones.contains(zone)) {
-            self.taken_back_at.insert(zone.clone(), version);
-            changes.taken_back.push(zone);
+            self.reopened_at.insert(zone.clone(), version);
+            changes.reopened.push(zone);
         }
         changes
     }
 
-    /// When a zone is closed whose row may have been written from `told_before` on.
-    fn closing(&self, told_before: Option<Timestamp>) -> Timestamp {
-        let left = self.bound.saturating_sub(HELD_BACK + WAY_MARGIN);
-        told_before.map_or(Timestamp::ZERO, |told_before| told_before + left)
+    /// When a zone is closed whose row may have been written from `last_reported_at` on.
+    fn closing_time(&self, last_reported_at: Option<Timestamp>) -> Timestamp {
+        let remaining = self.bound.saturating_sub(MAX_STORE_LAG + DELIVERY_MARGIN);
+        last_reported_at.map_or(Timestamp::ZERO, |last_reported_at| {
+            last_reported_at + remaining
+        })
     }
 
     /// The store's version at which the rows were first known; none while nothing is known.
@@ -109,11 +111,11 @@
     }
 
     /// What may be sent to the servers of a zone.
-    pub fn phase(&self, zone: &str, now: Timestamp) -> Phase {
+    pub fn phase(&self, zone: &str, now: Timestamp) -> ZonePhase {
         match self.closes_at(zone) {
-            None => Phase::Open,
-            Some(closes_at) if now < closes_at => Phase::Leaving,
-            Some(_) => Phase::Closed,
+            None => ZonePhase::Open,
+            Some(closes_at) if now < closes_at => ZonePhase::Evacuating,
+            Some(_) => ZonePhase::Closed,
         }
     }
 
@@ -133,8 +135,8 @@
     ///
     /// A node that has started since does not know: for it the version counts at which it first knew
     /// the rows. None while nothing is known.
-    pub fn taken_back_at(&self, zone: &str) -> Option<StoreVersion> {
-        let known = self.taken_back_at.get(zone).copied();
+    pub fn reopened_at(&self, zone: &str) -> Option<StoreVersion> {
+        let known = self.reopened_at.get(zone).copied();
         known.or(self.first_version)
     }
 }
--- a/crates/spurpier-core/src/places/regions.rs
+++ b/crates/spurpier-core/src/locality/regions.rs
@@ -23,7 +23,7 @@
     }
 
     /// The regions that both allow.
-    pub fn and(&self, other: &Self) -> Self {
+    pub fn intersection(&self, other: &Self) -> Self {
         match (&self.only, &other.only) {
             (None, _) => other.clone(),
             (_, None) => self.clone(),
--- a/crates/spurpier-core/src/session/floors.rs
+++ b/crates/spurpier-core/src/session/floors.rs
@@ -8,11 +8,11 @@
 
 /// A session's floor in each group that it knows; floors only rise.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Floors {
+pub struct ReadFloors {
     positions: BTreeMap<GroupId, Position>,
 }
 
-impl Floors {
+impl ReadFloors {
     /// No floor anywhere.
     pub fn new() -> Self {
         Self::default()
--- a/crates/spurpier-core/src/session/mod.rs
+++ b/crates/spurpier-core/src/session/mod.rs
@@ -4,6 +4,6 @@
 mod settings;
 mod token;
 
-pub use floors::Floors;
+pub use floors::ReadFloors;
 pub use settings::SessionSettings;
 pub use token::{InvalidToken, PositionToken};
--- a/crates/spurpier-core/src/session/settings.rs
+++ b/crates/spurpier-core/src/session/settings.rs
@@ -78,17 +78,17 @@
     }
 
     /// How many settings and pending changes are held.
-    pub fn changes(&self) -> usize {
+    pub fn change_count(&self) -> usize {
         self.committed.len() + self.pending.len()
     }
 
     /// How many savepoints are held.
-    pub fn savepoints(&self) -> usize {
+    pub fn savepoint_count(&self) -> usize {
         self.savepoints.len()
     }
 
     /// Records a savepoint.
-    pub fn savepoint(&mut self, name: &str) {
+    pub fn add_savepoint(&mut self, name: &str) {
         self.savepoints.push(Savepoint {
             name: name.to_owned(),
             pending_before: self.pending.len(),
--- a/crates/spurpier-core/src/session/token.rs
+++ b/crates/spurpier-core/src/session/token.rs
@@ -8,7 +8,7 @@
 use crate::position::Position;
 
 /// The longest token that is read, in bytes.
-const LONGEST_TOKEN: usize = 16 * 1024;
+const MAX_TOKEN_BYTES: usize = 16 * 1024;
 
 /// A session's positions in the form `database.side=term/offset`, joined with commas.
 ///
@@ -60,7 +60,7 @@
     type Err = InvalidToken;
 
     fn from_str(text: &str) -> Result<Self, InvalidToken> {
-        if text.len() > LONGEST_TOKEN {
+        if text.len() > MAX_TOKEN_BYTES {
             return Err(InvalidToken);
         }
         let mut positions = BTreeMap::new();
--- a/crates/spurpier-core/tests/cold.rs
+++ b/crates/spurpier-core/tests/cold.rs
@@ -15,7 +15,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::TestRunner;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
-use spurpier_core::places::{ColdBound, Coldness, is_entry_outdated};
+use spurpier_core::locality::{ColdBound, ColdState, is_entry_outdated};
 use spurpier_core::quota::{Grant, Ledger, Taken};
 use spurpier_core::store_version::StoreVersion;
 use spurpier_core::time::Timestamp;
@@ -136,7 +136,7 @@
         for rate in RATES {
             for way in [Way::Leaves, Way::FirstHome, Way::Shares] {
                 let (fullest, used, wait) = measure(way, rate, trouble);
-                let most = BOUND.most(rate);
+                let most = BOUND.max_requests(rate);
                 let wait = wait.as_millis();
                 println!("| {name} | {rate} | {way:?} | {fullest} / {most} | {used:.2} | {wait} |");
                 if way == Way::Leaves {
@@ -163,20 +163,20 @@
 fn a_newer_entry_turns_a_server_cold_again_and_one_told_again_does_not() {
     let start = Timestamp::from_millis(10_000);
     let second = Duration::from_secs(1);
-    let mut coldness = Coldness::default();
+    let mut coldness = ColdState::default();
     assert!(!coldness.is_cold(start));
-    coldness.note_entry(second * 3, StoreVersion::from_bits(5), start);
+    coldness.record_entry(second * 3, StoreVersion::from_bits(5), start);
     assert!(coldness.is_cold(start + second * 2));
-    coldness.note_entry(second * 3, StoreVersion::from_bits(5), start + second * 2);
+    coldness.record_entry(second * 3, StoreVersion::from_bits(5), start + second * 2);
     assert!(!coldness.is_cold(start + second * 3));
-    coldness.note_entry(
+    coldness.record_entry(
         Duration::ZERO,
         StoreVersion::from_bits(6),
         start + second * 3,
     );
-    coldness.note_entry(second * 3, StoreVersion::from_bits(4), start + second * 3);
+    coldness.record_entry(second * 3, StoreVersion::from_bits(4), start + second * 3);
     assert!(!coldness.is_cold(start + second * 3));
-    coldness.note_entry(second * 3, StoreVersion::from_bits(7), start + second * 4);
+    coldness.record_entry(second * 3, StoreVersion::from_bits(7), start + second * 4);
     assert!(coldness.is_cold(start + second * 6));
     assert_eq!(coldness.until(), start + second * 7);
 }
@@ -215,11 +215,11 @@
 #[test]
 fn a_bound_below_one_request_lets_none_pass() {
     let bound = |overage, slack| ColdBound { overage, slack };
-    assert_eq!(bound(1.5, 0.0).rate(0.5), None);
-    let rate = bound(1.5, 5.0).rate(20.0).expect("allowed");
+    assert_eq!(bound(1.5, 0.0).authority_rate(0.5), None);
+    let rate = bound(1.5, 5.0).authority_rate(20.0).expect("allowed");
     assert!(rate.per_second >= 20.0 * 0.85);
     assert!(rate.per_second + rate.burst <= 33.0);
     // Never more than the bound, also where the factor is small.
-    let rate = bound(0.5, 1.0).rate(20.0).expect("allowed");
+    let rate = bound(0.5, 1.0).authority_rate(20.0).expect("allowed");
     assert!(rate.per_second + rate.burst <= 11.0);
 }
--- a/crates/spurpier-core/tests/cold_model/mod.rs
+++ b/crates/spurpier-core/tests/cold_model/mod.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use proptest::prelude::*;
-use spurpier_core::places::{COLD_WINDOW, ColdBound, Coldness, is_entry_outdated};
+use spurpier_core::locality::{COLD_WINDOW, ColdBound, ColdState, is_entry_outdated};
 use spurpier_core::quota::{
     Authority, AuthorityChoice, Bucket, Budget, Grant, Ledger, QuotaRate, Stamp, Taken, VOTE_LIFE,
     Want,
@@ -137,9 +137,9 @@
     more_listed: usize,
     is_frozen: bool,
     life: u64,
-    coldness: Coldness,
+    coldness: ColdState,
     entries_known_to: u64,
-    taken_back_at: Option<u64>,
+    reopened_at: Option<u64>,
     /// News on the way: when they come, and whether they are entries.
     news: Vec<(Timestamp, bool, u64)>,
 }
@@ -204,7 +204,7 @@
 
     /// The requests of the first span that holds more than its bound; none if there is none.
     pub fn broken_window(&self) -> Option<usize> {
-        let most = BOUND.most(self.per_second);
+        let most = BOUND.max_requests(self.per_second);
         let fullest = self.fullest_window();
         (fullest as f64 > most).then_some(fullest)
     }
@@ -237,7 +237,9 @@
     }
 
     fn rate(&self) -> QuotaRate {
-        BOUND.rate(self.per_second).expect("more than one request")
+        BOUND
+            .authority_rate(self.per_second)
+            .expect("more than one request")
     }
 
     fn turn_cold(&mut self, first: usize, removal: u8, entry: u8) {
@@ -249,9 +251,9 @@
             let removal_at = self.now + TURN * (u32::from(removal) + shift);
             let entry_at = self.now + TURN * (u32::from(entry) + shift * 3);
             // It was warm while it was evacuated.
-            node.coldness = Coldness::default();
+            node.coldness = ColdState::default();
             node.entries_known_to = entry_version - 1;
-            node.taken_back_at = Some(u64::MAX);
+            node.reopened_at = Some(u64::MAX);
             node.news = vec![
                 (removal_at, false, removal_version),
                 (entry_at, true, removal_version),
@@ -365,10 +367,10 @@
         let known = &self.nodes[node];
         let is_outdated = self.breakage != Breakage::OldEntries
             && is_entry_outdated(
-                known.taken_back_at.map(StoreVersion::from_bits),
+                known.reopened_at.map(StoreVersion::from_bits),
                 StoreVersion::from_bits(known.entries_known_to),
             );
-        if is_outdated || known.taken_back_at == Some(u64::MAX) {
+        if is_outdated || known.reopened_at == Some(u64::MAX) {
             return;
         }
         if !known.coldness.is_cold(self.now) {
@@ -499,9 +501,9 @@
             if is_entry {
                 self.entries_known_to = version;
                 self.coldness
-                    .note_entry(COLD_FOR, StoreVersion::from_bits(version - 1), now);
+                    .record_entry(COLD_FOR, StoreVersion::from_bits(version - 1), now);
             } else {
-                self.taken_back_at = Some(version);
+                self.reopened_at = Some(version);
             }
         }
     }
@@ -509,25 +511,27 @@
 
 /// A node that knows the server to be cold.
 fn new_node(life: u64, version: u64, now: Timestamp, per_second: f64) -> Node {
-    let mut coldness = Coldness::default();
-    coldness.note_entry(
+    let mut coldness = ColdState::default();
+    coldness.record_entry(
         Duration::from_secs(3_600),
         StoreVersion::from_bits(version),
         now,
     );
-    let rate = BOUND.rate(per_second).expect("more than one request");
+    let rate = BOUND
+        .authority_rate(per_second)
+        .expect("more than one request");
     Node {
         ledger: Ledger::default(),
-        authority: Authority::new(ColdBound::COUNTED, life),
+        authority: Authority::new(ColdBound::AUTHORITY_BOUND, life),
         choice: AuthorityChoice::new(VOTE_LIFE),
-        bucket: Bucket::begun_at(Budget::of(rate, ColdBound::COUNTED), now),
+        bucket: Bucket::begun_at(Budget::of(rate, ColdBound::AUTHORITY_BOUND), now),
         reachable: (1 << NODES) - 1,
         more_listed: 0,
         is_frozen: false,
         life,
         coldness,
         entries_known_to: version,
-        taken_back_at: None,
+        reopened_at: None,
         news: Vec::new(),
     }
 }
--- a/crates/spurpier-core/tests/evacuations.rs
+++ b/crates/spurpier-core/tests/evacuations.rs
@@ -5,7 +5,9 @@
 
 use proptest::prelude::*;
 use proptest::sample::select;
-use spurpier_core::places::{Evacuations, HELD_BACK, HeldZones, Phase, WAY_MARGIN, WRITTEN_AGAIN};
+use spurpier_core::locality::{
+    DELIVERY_MARGIN, Evacuations, MAX_STORE_LAG, REWRITE_GRACE_PERIOD, RetainedZones, ZonePhase,
+};
 use spurpier_core::store_version::{StoreEra, StoreVersion};
 use spurpier_core::time::Timestamp;
 
@@ -23,8 +25,8 @@
 /// A node that was told at 10 s that nothing is evacuated, and then that `a` is.
 fn told_of_a() -> Evacuations {
     let mut known = Evacuations::new(BOUND);
-    known.take(&zones(&[]), StoreVersion::from_bits(1), None);
-    let changes = known.take(&zones(&["a"]), StoreVersion::from_bits(2), Some(at(10_000)));
+    known.apply(&zones(&[]), StoreVersion::from_bits(1), None);
+    let changes = known.apply(&zones(&["a"]), StoreVersion::from_bits(2), Some(at(10_000)));
     assert_eq!(changes.evacuated, ["a"]);
     known
 }
@@ -32,50 +34,50 @@
 #[test]
 fn an_evacuated_zone_is_left_first_and_closed_before_the_bound() {
     let known = told_of_a();
-    assert_eq!(known.phase("a", at(13_499)), Phase::Leaving);
-    assert_eq!(known.phase("a", at(13_500)), Phase::Closed);
-    assert_eq!(known.phase("b", at(13_500)), Phase::Open);
+    assert_eq!(known.phase("a", at(13_499)), ZonePhase::Evacuating);
+    assert_eq!(known.phase("a", at(13_500)), ZonePhase::Closed);
+    assert_eq!(known.phase("b", at(13_500)), ZonePhase::Open);
 }
 
 #[test]
 fn a_node_that_starts_later_closes_at_once() {
     let mut known = Evacuations::new(BOUND);
-    known.take(&zones(&["a"]), StoreVersion::from_bits(7), None);
-    assert_eq!(known.phase("a", at(1)), Phase::Closed);
+    known.apply(&zones(&["a"]), StoreVersion::from_bits(7), None);
+    assert_eq!(known.phase("a", at(1)), ZonePhase::Closed);
 }
 
 #[test]
 fn a_row_that_is_told_again_does_not_put_the_closing_off() {
     let mut known = told_of_a();
-    let changes = known.take(
+    let changes = known.apply(
         &zones(&["a", "b"]),
         StoreVersion::from_bits(3),
         Some(at(13_000)),
     );
     assert_eq!(changes.evacuated, ["b"]);
-    assert_eq!(known.phase("a", at(13_500)), Phase::Closed);
-    assert_eq!(known.phase("b", at(13_500)), Phase::Leaving);
+    assert_eq!(known.phase("a", at(13_500)), ZonePhase::Closed);
+    assert_eq!(known.phase("b", at(13_500)), ZonePhase::Evacuating);
 }
 
 #[test]
 fn a_zone_that_is_taken_back_is_open_and_keeps_the_version() {
     let mut known = told_of_a();
     assert_eq!(
-        known.taken_back_at("a"),
+        known.reopened_at("a"),
         Some(StoreVersion::from_bits(1)),
         "it may have been before"
     );
-    let changes = known.take(&zones(&[]), StoreVersion::from_bits(9), Some(at(20_000)));
-    assert_eq!(changes.taken_back, ["a"]);
-    assert_eq!(known.phase("a", at(20_000)), Phase::Open);
-    assert_eq!(known.taken_back_at("a"), Some(StoreVersion::from_bits(9)));
-    known.take(
+    let changes = known.apply(&zones(&[]), StoreVersion::from_bits(9), Some(at(20_000)));
+    assert_eq!(changes.reopened, ["a"]);
+    assert_eq!(known.phase("a", at(20_000)), ZonePhase::Open);
+    assert_eq!(known.reopened_at("a"), Some(StoreVersion::from_bits(9)));
+    known.apply(
         &zones(&["a"]),
         StoreVersion::from_bits(12),
         Some(at(30_000)),
     );
-    assert_eq!(known.phase("a", at(33_499)), Phase::Leaving);
-    assert_eq!(known.phase("a", at(33_500)), Phase::Closed);
+    assert_eq!(known.phase("a", at(33_499)), ZonePhase::Evacuating);
+    assert_eq!(known.phase("a", at(33_500)), ZonePhase::Closed);
 }
 
 /// What happens next.
@@ -94,7 +96,7 @@
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let held_back = u64::try_from(HELD_BACK.as_millis()).expect("short");
+    let held_back = u64::try_from(MAX_STORE_LAG.as_millis()).expect("short");
     let step = prop_oneof![
         4 => (1_u64..1_500).prop_map(Step::Wait),
         1 => (1_500_u64..20_000).prop_map(Step::Wait),
@@ -218,7 +220,7 @@
         let before = self.known.map(|(_, told_at)| at(told_at));
         let zones = &self.history[told.version].zones;
         self.node
-            .take(zones, StoreVersion::from_bits(told.version as u64), before);
+            .apply(zones, StoreVersion::from_bits(told.version as u64), before);
         let told_at = self.known.map_or(0, |(_, known)| known).max(told.told_at);
         self.known = Some((told.version, told_at));
     }
@@ -230,21 +232,21 @@
         };
         for zone in ZONES {
             let Some(written_at) = self.evacuated_since(zone, known) else {
-                assert_eq!(self.node.phase(zone, at(self.now)), Phase::Open);
+                assert_eq!(self.node.phase(zone, at(self.now)), ZonePhase::Open);
                 continue;
             };
-            let way = u64::try_from(WAY_MARGIN.as_millis()).expect("short");
+            let way = u64::try_from(DELIVERY_MARGIN.as_millis()).expect("short");
             let arrives_at = self.now + way;
             let bound = u64::try_from(BOUND.as_millis()).expect("short");
             if arrives_at > written_at + bound {
                 assert_eq!(
                     self.node.phase(zone, at(self.now)),
-                    Phase::Closed,
+                    ZonePhase::Closed,
                     "{zone} was evacuated at {written_at}, and what leaves at {} arrives late",
                     self.now
                 );
             }
-            assert_ne!(self.node.phase(zone, at(self.now)), Phase::Open);
+            assert_ne!(self.node.phase(zone, at(self.now)), ZonePhase::Open);
         }
     }
 
@@ -268,7 +270,7 @@
 
 /// The zones that count as evacuated, of which `known` did before and the store tells `told`.
 fn counted(
-    held: &mut HeldZones,
+    held: &mut RetainedZones,
     known: &[&str],
     told: &[&str],
     era: u64,
@@ -276,32 +278,32 @@
 ) -> String {
     let era = StoreEra::new(era).expect("a small number");
     let known = known.iter().map(|zone| (*zone).to_owned());
-    let counted = held.with_held(known, &zones(told), era, now);
+    let counted = held.with_retained(known, &zones(told), era, now);
     counted.into_iter().collect::<Vec<_>>().join(" ")
 }
 
 #[test]
 fn a_zone_whose_row_the_store_has_lost_stays_evacuated_until_it_is_written_again() {
-    let mut held = HeldZones::default();
+    let mut held = RetainedZones::default();
     assert_eq!(counted(&mut held, &[], &["a", "b"], 1, at(0)), "a b");
     assert_eq!(counted(&mut held, &["a", "b"], &["b"], 1, at(1_000)), "b");
     let returned = at(2_000);
     assert_eq!(counted(&mut held, &["b"], &["a"], 2, returned), "a b");
-    assert_eq!(held.held_until(), Some(returned + WRITTEN_AGAIN));
+    assert_eq!(held.retained_until(), Some(returned + REWRITE_GRACE_PERIOD));
     // Written again, and then taken away.
     assert_eq!(counted(&mut held, &["a", "b"], &["b"], 2, at(3_000)), "b");
-    assert_eq!(held.held_until(), None);
+    assert_eq!(held.retained_until(), None);
     assert_eq!(counted(&mut held, &["b"], &[], 2, at(4_000)), "");
 }
 
 #[test]
 fn a_zone_whose_row_is_not_written_again_is_taken_back_in_the_end() {
-    let mut held = HeldZones::default();
+    let mut held = RetainedZones::default();
     assert_eq!(counted(&mut held, &[], &["a"], 1, at(0)), "a");
     assert_eq!(counted(&mut held, &["a"], &[], 2, at(1_000)), "a");
-    let end = at(1_000) + WRITTEN_AGAIN;
+    let end = at(1_000) + REWRITE_GRACE_PERIOD;
     let last = Timestamp::from_micros(end.as_micros() - 1);
     assert_eq!(counted(&mut held, &["a"], &[], 2, last), "a");
     assert_eq!(counted(&mut held, &["a"], &[], 2, end), "");
-    assert_eq!(held.held_until(), None);
+    assert_eq!(held.retained_until(), None);
 }
--- a/crates/spurpier-core/tests/model/client.rs
+++ b/crates/spurpier-core/tests/model/client.rs
@@ -2,7 +2,7 @@
 
 use spurpier_core::identity::{DatabaseName, GroupId, Side};
 use spurpier_core::position::Position;
-use spurpier_core::session::{Floors, PositionToken};
+use spurpier_core::session::{PositionToken, ReadFloors};
 use spurpier_rehearsal::oracle::{
     Answer, Outcome, ReadFreshness, ReadOfRow, SettingObserved, Unit, Write,
 };
@@ -38,7 +38,7 @@
     pub row_key: String,
     pub key: Option<Key>,
     pub writes: Vec<Write>,
-    pub floors: Floors,
+    pub floors: ReadFloors,
     pub setting: u64,
 }
 
@@ -83,7 +83,7 @@
     index: usize,
     /// Whether it carries its position token to the next proxy.
     keeps_token: bool,
-    floors: Floors,
+    floors: ReadFloors,
     at: Option<(usize, u64)>,
     running: Option<Running>,
     repeat: Option<Running>,
@@ -105,7 +105,7 @@
         Client {
             index,
             keeps_token: index.is_multiple_of(2),
-            floors: Floors::new(),
+            floors: ReadFloors::new(),
             at: None,
             running: None,
             repeat: None,
@@ -117,7 +117,7 @@
         let at = Some((node, incarnation));
         if self.at != at {
             let token = self.floors.token().to_string();
-            self.floors = Floors::new();
+            self.floors = ReadFloors::new();
             if self.keeps_token {
                 let token: PositionToken = token.parse().expect("a token parses back");
                 self.floors.raise_to(&token);
@@ -166,7 +166,7 @@
                 digest: number,
             }),
             writes,
-            floors: Floors::new(),
+            floors: ReadFloors::new(),
             setting: client as u64 + 1,
         };
         self.client_send(client, node, spec, REPEATS);
--- a/crates/spurpier-core/tests/places.rs
+++ b/crates/spurpier-core/tests/places.rs
@@ -1,6 +1,6 @@
 //! Where work may run.
 
-use spurpier_core::places::AllowedRegions;
+use spurpier_core::locality::AllowedRegions;
 
 fn only(names: &[&str]) -> AllowedRegions {
     AllowedRegions::only(names.iter().map(|name| (*name).to_owned()))
@@ -22,15 +22,15 @@
 
 #[test]
 fn two_bounds_leave_what_both_allow() {
-    let both = only(&["north", "south"]).and(&only(&["south", "west"]));
+    let both = only(&["north", "south"]).intersection(&only(&["south", "west"]));
     assert_eq!(both, only(&["south"]));
-    assert_eq!(AllowedRegions::ANYWHERE.and(&both), both);
-    assert_eq!(both.and(&AllowedRegions::ANYWHERE), both);
+    assert_eq!(AllowedRegions::ANYWHERE.intersection(&both), both);
+    assert_eq!(both.intersection(&AllowedRegions::ANYWHERE), both);
 }
 
 #[test]
 fn bounds_without_a_common_region_allow_none_rather_than_all() {
-    let none = only(&["north"]).and(&only(&["south"]));
+    let none = only(&["north"]).intersection(&only(&["south"]));
     assert!(none.is_nowhere());
     assert!(!none.is_anywhere());
     assert!(!none.allows(Some("north")));
--- a/crates/spurpier-core/tests/primary_moves.rs
+++ b/crates/spurpier-core/tests/primary_moves.rs
@@ -5,8 +5,9 @@
 
 use proptest::collection::vec;
 use proptest::prelude::*;
-use spurpier_core::places::{
-    AllowedRegions, DemandCounts, DemandLevels, MOST_SETS, MOVE_INTERVAL, MovePolicy, RegionDemand,
+use spurpier_core::locality::{
+    AllowedRegions, DecayingDemand, DemandCounts, MAX_REGION_SETS, MIN_MOVE_INTERVAL,
+    PrimaryMovePlanner, RegionDemand,
 };
 use spurpier_core::time::Timestamp;
 
@@ -26,8 +27,8 @@
 
 /// A group whose primary moves as soon as it is wanted elsewhere.
 struct Group {
-    levels: DemandLevels,
-    policy: MovePolicy,
+    levels: DecayingDemand,
+    policy: PrimaryMovePlanner,
     present: String,
     now: Timestamp,
     moves: Vec<(Timestamp, String)>,
@@ -36,8 +37,8 @@
 impl Group {
     fn in_region(present: &str) -> Self {
         Group {
-            levels: DemandLevels::default(),
-            policy: MovePolicy::default(),
+            levels: DecayingDemand::default(),
+            policy: PrimaryMovePlanner::default(),
             present: present.to_owned(),
             now: Timestamp::from_millis(100_000),
             moves: Vec::new(),
@@ -46,7 +47,7 @@
 
     fn step(&mut self, told: &[RegionDemand]) {
         self.now = self.now + STEP;
-        self.levels.note(told, self.now);
+        self.levels.record(told, self.now);
         let candidates = set(&REGIONS);
         let (levels, present) = (&self.levels, self.present.as_str());
         let wanted = self.policy.decide(levels, present, &candidates, self.now);
@@ -109,12 +110,12 @@
 
 #[test]
 fn a_move_that_does_not_come_about_is_given_up_and_tried_again_later() {
-    let mut levels = DemandLevels::default();
-    let mut policy = MovePolicy::default();
+    let mut levels = DecayingDemand::default();
+    let mut policy = PrimaryMovePlanner::default();
     let (mut now, candidates) = (Timestamp::ZERO, set(&REGIONS));
     let mut tried = Vec::new();
     for second in 0..90_u64 {
-        levels.note(&[demand(&["south"], 5)], now);
+        levels.record(&[demand(&["south"], 5)], now);
         if policy.decide(&levels, "north", &candidates, now).is_some() {
             tried.push(second);
         }
@@ -128,12 +129,12 @@
 
 #[test]
 fn a_region_without_a_server_that_could_take_over_is_not_wanted() {
-    let mut levels = DemandLevels::default();
-    let mut policy = MovePolicy::default();
+    let mut levels = DecayingDemand::default();
+    let mut policy = PrimaryMovePlanner::default();
     let mut now = Timestamp::ZERO;
     for _ in 0..30 {
         now = now + STEP;
-        levels.note(&[demand(&["south"], 5)], now);
+        levels.record(&[demand(&["south"], 5)], now);
         let wanted = policy.decide(&levels, "north", &set(&["east", "north"]), now);
         assert_eq!(wanted, None);
     }
@@ -149,7 +150,7 @@
     counts.count(&AllowedRegions::only([]));
     counts.count(&AllowedRegions::only(["r0".to_owned()]));
     let taken = counts.take();
-    assert_eq!(taken.len(), MOST_SETS);
+    assert_eq!(taken.len(), MAX_REGION_SETS);
     assert_eq!(taken[0], demand(&["r0"], 2));
     assert_eq!(counts.take(), []);
 }
@@ -180,7 +181,7 @@
         }
         let pairs = group.moves.windows(2);
         let pauses: Vec<Duration> = pairs.map(|pair| pair[1].0.since(pair[0].0)).collect();
-        prop_assert!(pauses.iter().all(|pause| *pause >= MOVE_INTERVAL), "{pauses:?}");
+        prop_assert!(pauses.iter().all(|pause| *pause >= MIN_MOVE_INTERVAL), "{pauses:?}");
     }
 
     /// The oracle: what a region allows, counted plainly; steady demand keeps its shares as it fades.
--- a/crates/spurpier-core/tests/session.rs
+++ b/crates/spurpier-core/tests/session.rs
@@ -7,7 +7,7 @@
 use proptest::test_runner::{RngSeed, TestRunner};
 use spurpier_core::identity::{DatabaseName, GroupId, Side};
 use spurpier_core::position::Position;
-use spurpier_core::session::{Floors, PositionToken, SessionSettings};
+use spurpier_core::session::{PositionToken, ReadFloors, SessionSettings};
 use spurpier_core::statement::SettingChange;
 
 const SEED: u64 = 20_261_202;
@@ -92,7 +92,7 @@
         })
         .collect();
     let checked = runner(1_000).run(&vec(steps, 0..30), |steps| {
-        let mut floors = Floors::new();
+        let mut floors = ReadFloors::new();
         let mut highest: BTreeMap<usize, Position> = BTreeMap::new();
         for step in steps {
             let raises: Vec<(usize, Position)> = match &step {
@@ -146,9 +146,9 @@
     settings.commit();
     assert_eq!(pairs(&settings), [("a", "1")]);
     settings.apply_in_transaction(set("b", "1"));
-    settings.savepoint("s");
+    settings.add_savepoint("s");
     settings.apply_in_transaction(set("c", "1"));
-    settings.savepoint("t");
+    settings.add_savepoint("t");
     settings.apply_in_transaction(set("d", "1"));
     settings.release_savepoint("t");
     settings.rollback_to_savepoint("s");
--- a/crates/spurpier-pipeline/src/configuration/mod.rs
+++ b/crates/spurpier-pipeline/src/configuration/mod.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use spurpier_core::places::AllowedRegions;
+use spurpier_core::locality::AllowedRegions;
 use spurpier_core::store_version::StoreVersion;
 use spurpier_events::log_event;
 
@@ -102,7 +102,7 @@
         let holder = holder.ok_or(Denied::UnknownKey)?;
         let tenant = Some(Arc::clone(&holder.name));
         Ok(Admitted {
-            allowed_regions: route.allowed_regions.and(&holder.allowed_regions),
+            allowed_regions: route.allowed_regions.intersection(&holder.allowed_regions),
             caller: Caller { tenant, key },
             route,
         })
--- a/crates/spurpier-pipeline/src/configuration/regions.rs
+++ b/crates/spurpier-pipeline/src/configuration/regions.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-use spurpier_core::places::AllowedRegions;
+use spurpier_core::locality::AllowedRegions;
 
 use crate::ports::Configuration;
 
--- a/crates/spurpier-pipeline/src/configuration/rows.rs
+++ b/crates/spurpier-pipeline/src/configuration/rows.rs
@@ -9,7 +9,7 @@
 
 use bytes::Bytes;
 use nanoserde::{DeBin, SerBin};
-use spurpier_core::places::AllowedRegions;
+use spurpier_core::locality::AllowedRegions;
 use spurpier_core::store_version::StoreVersion;
 use spurpier_core::wire::{List, LongText};
 
--- a/crates/spurpier-pipeline/src/duty/demand.rs
+++ b/crates/spurpier-pipeline/src/duty/demand.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use nanoserde::SerBin;
-use spurpier_core::places::RegionDemand;
+use spurpier_core::locality::RegionDemand;
 use spurpier_core::wire::{List, LongText};
 
 use super::messages::{PeerMessage, ToldDemand};
--- a/crates/spurpier-pipeline/src/duty/evacuation.rs
+++ b/crates/spurpier-pipeline/src/duty/evacuation.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use spurpier_core::places::Phase;
+use spurpier_core::locality::ZonePhase;
 use spurpier_core::position::Position;
 use spurpier_events::log_event;
 
@@ -172,8 +172,8 @@
 
     async fn required_by(&mut self, server: &Arc<Server>) -> Required {
         match server.pool.zone_gate().phase() {
-            Phase::Open => Required::Nothing,
-            Phase::Leaving => match status_of(&self.context, server).await {
+            ZonePhase::Open => Required::Nothing,
+            ZonePhase::Evacuating => match status_of(&self.context, server).await {
                 Some(status) => {
                     if self.group.led_last(&server.incarnation) {
                         self.step_down = Some(KnownStepDown {
@@ -186,9 +186,9 @@
                 // It is as lost as a primary anywhere else.
                 None => Required::Nothing,
             },
-            Phase::Closed if self.group.led_last(&server.incarnation) => Required::Unknown,
+            ZonePhase::Closed if self.group.led_last(&server.incarnation) => Required::Unknown,
             // A replica: what it holds the primary held too, which is lost.
-            Phase::Closed => Required::Nothing,
+            ZonePhase::Closed => Required::Nothing,
         }
     }
 }
--- a/crates/spurpier-pipeline/src/follow/patience.rs
+++ b/crates/spurpier-pipeline/src/follow/patience.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use spurpier_core::places::{HELD_BACK, WAY_MARGIN};
+use spurpier_core::locality::{DELIVERY_MARGIN, MAX_STORE_LAG};
 
 use crate::ports::Table;
 use crate::settings::BoundSettings;
@@ -46,7 +46,8 @@
             Table::Configuration => {
                 let applied = Duration::from_millis(bounds.configuration_apply_ms) * 4 / 5;
                 let evacuated = bounds.agreed_evacuation_bound();
-                let closed = evacuated.map(|bound| bound.saturating_sub(HELD_BACK + WAY_MARGIN));
+                let closed =
+                    evacuated.map(|bound| bound.saturating_sub(MAX_STORE_LAG + DELIVERY_MARGIN));
                 closed.map_or(applied, |closed| applied.min(closed))
             }
             Table::Servers | Table::Cluster | Table::Duty => ALWAYS_KNOWN,
--- a/crates/spurpier-pipeline/src/places/cold.rs
+++ b/crates/spurpier-pipeline/src/places/cold.rs
@@ -1,6 +1,6 @@
 //! Sending to cold servers: each message to one needs a leave, over all nodes together.
 //!
-//! The decisions are [`spurpier_core::places`]'s and [`spurpier_core::quota`]'s. Each server has a
+//! The decisions are [`spurpier_core::locality`]'s and [`spurpier_core::quota`]'s. Each server has a
 //! gate, which its connections pass with each message that they send, so that none is forgotten.
 //! A warm server's gate is one load of a number.
 
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use spurpier_core::places::{ColdBound, Coldness, is_entry_outdated};
+use spurpier_core::locality::{ColdBound, ColdState, is_entry_outdated};
 use spurpier_core::store_version::StoreVersion;
 use spurpier_core::time::Timestamp;
 use spurpier_events::log_event;
@@ -119,7 +119,7 @@
         let known = self.configuration.borrow();
         let known = known.as_ref()?;
         let per_second = known.cold_per_second(group)?;
-        let Some(rate) = self.bound.rate(per_second) else {
+        let Some(rate) = self.bound.authority_rate(per_second) else {
             return Some(ColdRate::Nothing);
         };
         let quota = Quota {
@@ -158,7 +158,7 @@
     group: String,
     /// Tells when the server's zone was taken back from an evacuation.
     zone_gate: Arc<ZoneGate>,
-    coldness: Mutex<Coldness>,
+    coldness: Mutex<ColdState>,
     /// Until when the server is cold, in microseconds of the clock.
     cold_until: AtomicU64,
     /// Messages that wait for a leave although none is to be had now.
@@ -194,7 +194,7 @@
         let until = {
             let coldness = self.coldness.lock();
             let mut coldness = coldness.unwrap_or_else(PoisonError::into_inner);
-            coldness.note_entry(cold_for, version, now);
+            coldness.record_entry(cold_for, version, now);
             let until = coldness.until();
             self.cold_until.store(until.as_micros(), Ordering::Relaxed);
             until
--- a/crates/spurpier-pipeline/src/places/demand.rs
+++ b/crates/spurpier-pipeline/src/places/demand.rs
@@ -7,7 +7,9 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use spurpier_core::places::{AllowedRegions, DemandCounts, DemandLevels, MovePolicy, RegionDemand};
+use spurpier_core::locality::{
+    AllowedRegions, DecayingDemand, DemandCounts, PrimaryMovePlanner, RegionDemand,
+};
 use spurpier_core::time::Timestamp;
 
 /// For how long the wish that a primary be moved holds after it was last told: a few of the looks
@@ -17,8 +19,8 @@
 #[derive(Debug, Default)]
 struct GroupDemand {
     counts: DemandCounts,
-    levels: DemandLevels,
-    policy: MovePolicy,
+    levels: DecayingDemand,
+    policy: PrimaryMovePlanner,
     /// The region that the primary is to move to, and until when that holds.
     wish: Option<(String, Timestamp)>,
 }
@@ -63,7 +65,7 @@
     pub fn note(&self, group: &str, demand: &[RegionDemand], now: Timestamp) {
         let mut groups = self.lock();
         let known = groups.entry(group.to_owned()).or_default();
-        known.levels.note(demand, now);
+        known.levels.record(demand, now);
     }
 
     /// Decides whether a group's primary, which stands in a region, is to move to one of others;
@@ -77,7 +79,7 @@
     ) -> Option<String> {
         let mut groups = self.lock();
         let known = groups.get_mut(group)?;
-        known.levels.fade(now);
+        known.levels.decay(now);
         let wanted = known
             .policy
             .decide(&known.levels, present, candidates, now)?;
--- a/crates/spurpier-pipeline/src/places/evacuations.rs
+++ b/crates/spurpier-pipeline/src/places/evacuations.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use spurpier_core::places::{Evacuations, HeldZones};
+use spurpier_core::locality::{Evacuations, RetainedZones};
 use spurpier_core::store_version::{StoreEra, StoreVersion};
 use spurpier_core::time::Timestamp;
 use spurpier_events::log_event;
@@ -18,7 +18,7 @@
 struct Inner {
     known: Evacuations,
     /// Zones whose rows the store has lost.
-    held: HeldZones,
+    held: RetainedZones,
     gates: BTreeMap<String, Arc<ZoneGate>>,
 }
 
@@ -37,7 +37,7 @@
             clock,
             inner: Mutex::new(Inner {
                 known: Evacuations::new(bound),
-                held: HeldZones::default(),
+                held: RetainedZones::default(),
                 gates: BTreeMap::new(),
             }),
             changed: watch::Sender::new(0),
@@ -55,14 +55,14 @@
         let mut inner = self.lock();
         let is_first = inner.known.first_version().is_none();
         let zones = inner.with_held(told, version.era(), self.clock.now());
-        let changes = inner.known.take(&zones, version, told_before);
-        if is_first || !changes.taken_back.is_empty() {
+        let changes = inner.known.apply(&zones, version, told_before);
+        if is_first || !changes.reopened.is_empty() {
             inner.note_taken_back();
         }
         if changes.is_empty() {
             return;
         }
-        for zone in changes.evacuated.iter().chain(&changes.taken_back) {
+        for zone in changes.evacuated.iter().chain(&changes.reopened) {
             let closes_at = inner.known.closes_at(zone);
             inner.gate(zone, &self.clock).set(closes_at);
         }
@@ -74,7 +74,7 @@
                 closes_in_ms = closes_at.since(self.clock.now()).as_millis()
             );
         }
-        for zone in &changes.taken_back {
+        for zone in &changes.reopened {
             log_event!(events::ZONE_TAKEN_BACK, zone = zone, version = version);
         }
         drop(inner);
@@ -83,7 +83,7 @@
 
     /// Until when zones stay evacuated whose rows the store has lost; none if there are none.
     pub fn held_until(&self) -> Option<Timestamp> {
-        self.lock().held.held_until()
+        self.lock().held.retained_until()
     }
 
     /// The gate in front of a zone's servers.
@@ -119,14 +119,14 @@
     ) -> BTreeSet<String> {
         let known = self.known.zones();
         let known = known.map(|(zone, _)| zone.to_owned());
-        self.held.with_held(known, told, era, now)
+        self.held.with_retained(known, told, era, now)
     }
 
     /// Tells the gates when their zones were taken back: an entry from before may tell of a server
     /// that has turned cold since that it is warm.
     fn note_taken_back(&mut self) {
         for (zone, gate) in &self.gates {
-            gate.set_taken_back_at(self.known.taken_back_at(zone).unwrap_or_default());
+            gate.set_taken_back_at(self.known.reopened_at(zone).unwrap_or_default());
         }
     }
 
@@ -136,7 +136,7 @@
         }
         let gate = Arc::new(ZoneGate::new(clock.clone()));
         gate.set(self.known.closes_at(zone));
-        gate.set_taken_back_at(self.known.taken_back_at(zone).unwrap_or_default());
+        gate.set_taken_back_at(self.known.reopened_at(zone).unwrap_or_default());
         self.gates.insert(zone.to_owned(), Arc::clone(&gate));
         gate
     }
--- a/crates/spurpier-pipeline/src/places/gate.rs
+++ b/crates/spurpier-pipeline/src/places/gate.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use spurpier_core::places::Phase;
+use spurpier_core::locality::ZonePhase;
 use spurpier_core::store_version::StoreVersion;
 use spurpier_core::time::Timestamp;
 
@@ -64,16 +64,16 @@
     }
 
     /// What may be sent now.
-    pub fn phase(&self) -> Phase {
+    pub fn phase(&self) -> ZonePhase {
         match self.closes_in() {
-            None => Phase::Open,
-            Some(Duration::ZERO) => Phase::Closed,
-            Some(_) => Phase::Leaving,
+            None => ZonePhase::Open,
+            Some(Duration::ZERO) => ZonePhase::Closed,
+            Some(_) => ZonePhase::Evacuating,
         }
     }
 
     /// Whether nothing may be sent now.
     pub fn is_closed(&self) -> bool {
-        self.phase() == Phase::Closed
+        self.phase() == ZonePhase::Closed
     }
 }
--- a/crates/spurpier-pipeline/src/places/mod.rs
+++ b/crates/spurpier-pipeline/src/places/mod.rs
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use spurpier_core::places::AllowedRegions;
+use spurpier_core::locality::AllowedRegions;
 use spurpier_core::time::Timestamp;
 
 pub use self::closing::close_evacuated;
--- a/crates/spurpier-pipeline/src/ports/configuration.rs
+++ b/crates/spurpier-pipeline/src/ports/configuration.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use spurpier_core::places::AllowedRegions;
+use spurpier_core::locality::AllowedRegions;
 
 use super::tenant::Tenant;
 
--- a/crates/spurpier-pipeline/src/ports/tenant.rs
+++ b/crates/spurpier-pipeline/src/ports/tenant.rs
@@ -4,7 +4,7 @@
 
 use nanoserde::{DeBin, SerBin};
 use sha2::{Digest, Sha256};
-use spurpier_core::places::AllowedRegions;
+use spurpier_core::locality::AllowedRegions;
 
 /// Bytes of a key's digest: two keys of one deployment do not share one by chance or by search.
 const DIGEST_BYTES: usize = 16;
--- a/crates/spurpier-pipeline/src/quota/mod.rs
+++ b/crates/spurpier-pipeline/src/quota/mod.rs
@@ -17,7 +17,7 @@
 use nanoserde::{DeBin, SerBin};
 use rand::RngExt;
 use spurpier_core::homes::subject_digest;
-use spurpier_core::places::ColdBound;
+use spurpier_core::locality::ColdBound;
 use spurpier_core::quota::{
     Authority, Grant, Leave, Ledger, QuotaBound, QuotaRate, Taken, Want, ZoneAuthority, ZonePlace,
 };
@@ -120,7 +120,7 @@
     /// As [`Quotas::new`], for what is sent to cold servers. Their bound has no slack that zones
     /// could divide.
     pub fn of_cold_servers() -> Self {
-        Self::of_seats(SEATS..SEATS + COLD_SEATS, ColdBound::COUNTED)
+        Self::of_seats(SEATS..SEATS + COLD_SEATS, ColdBound::AUTHORITY_BOUND)
     }
 
     fn of_seats(seats: Range<u8>, bound: QuotaBound) -> Self {
--- a/crates/spurpier-pipeline/src/server/mod.rs
+++ b/crates/spurpier-pipeline/src/server/mod.rs
@@ -9,7 +9,7 @@
 
 use spurpier_core::directory::Incarnation;
 use spurpier_core::lead::{Distance, ServerLoad};
-use spurpier_core::places::Phase;
+use spurpier_core::locality::ZonePhase;
 use spurpier_core::store_version::StoreVersion;
 use spurpier_core::time::Timestamp;
 
@@ -87,7 +87,7 @@
 
     /// Whether its zone is evacuated.
     pub fn is_evacuated(&self) -> bool {
-        self.pool.zone_gate().phase() != Phase::Open
+        self.pool.zone_gate().phase() != ZonePhase::Open
     }
 
     /// Whether the directory has dropped it.
--- a/crates/spurpier-pipeline/src/unit/lead.rs
+++ b/crates/spurpier-pipeline/src/unit/lead.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use spurpier_core::lead::{NotProved, Proof};
-use spurpier_core::places::AllowedRegions;
+use spurpier_core::locality::AllowedRegions;
 use spurpier_core::position::Position;
 use spurpier_core::time::Timestamp;
 use spurpier_events::log_event;
--- a/crates/spurpier-pipeline/src/unit/mod.rs
+++ b/crates/spurpier-pipeline/src/unit/mod.rs
@@ -21,7 +21,7 @@
 
 use rand::seq::IteratorRandom;
 use spurpier_core::lead::{Distance, OwnCommit};
-use spurpier_core::places::AllowedRegions;
+use spurpier_core::locality::AllowedRegions;
 use spurpier_core::position::Position;
 use spurpier_events::{Event, log_event};
 
--- a/crates/spurpier/src/ingress/block.rs
+++ b/crates/spurpier/src/ingress/block.rs
@@ -222,7 +222,7 @@
             let message = "savepoints can only be used in transaction blocks";
             return Ok(self.give_error(&SqlError::new("25P01", message)));
         }
-        if self.session.settings.savepoints() >= SAVEPOINTS_PER_BLOCK {
+        if self.session.settings.savepoint_count() >= SAVEPOINTS_PER_BLOCK {
             let message = "too many savepoints in this transaction block";
             let outcome = self.give_error(&SqlError::new("53400", message));
             self.fail_block();
@@ -234,7 +234,7 @@
         let outcome = self.run_in_block(work).await?;
         if outcome == StepOutcome::Done {
             match class {
-                StatementClass::Savepoint(name) => self.session.settings.savepoint(name),
+                StatementClass::Savepoint(name) => self.session.settings.add_savepoint(name),
                 StatementClass::ReleaseSavepoint(name) => {
                     self.session.settings.release_savepoint(name);
                 }
--- a/crates/spurpier/src/ingress/session.rs
+++ b/crates/spurpier/src/ingress/session.rs
@@ -2,7 +2,7 @@
 
 use spurpier_core::identity::{DatabaseName, GroupId, NodeName, RequestKey, SessionId};
 use spurpier_core::position::Position;
-use spurpier_core::session::{Floors, PositionToken, SessionSettings};
+use spurpier_core::session::{PositionToken, ReadFloors, SessionSettings};
 use spurpier_protocol::unit::SessionSetting;
 
 use super::prepared::{Portals, PreparedStatements};
@@ -29,7 +29,7 @@
     pub statements: PreparedStatements,
     /// The portals of the open transaction block or batch.
     pub portals: Portals,
-    floors: Floors,
+    floors: ReadFloors,
     units: u64,
 }
 
@@ -50,7 +50,7 @@
             settings: SessionSettings::new(options.settings),
             statements: PreparedStatements::default(),
             portals: Portals::default(),
-            floors: Floors::new(),
+            floors: ReadFloors::new(),
             units: 0,
         };
         session.raise_floors(&options.position);
--- a/crates/spurpier/src/ingress/setting.rs
+++ b/crates/spurpier/src/ingress/setting.rs
@@ -75,7 +75,7 @@
             SettingChange::Set { value, .. } => value.len(),
             SettingChange::Reset { .. } | SettingChange::ResetAll => 0,
         };
-        settings.changes() < SETTINGS_PER_SESSION && value_length <= SETTING_BYTES
+        settings.change_count() < SETTINGS_PER_SESSION && value_length <= SETTING_BYTES
     }
 
     /// Has a server judge a setting, in a transaction block of the proxy's own that is then
