--- a/crates/spurpier-core/tests/cold.rs
+++ b/crates/spurpier-core/tests/cold.rs
@@ -10,7 +10,7 @@
 
 use std::time::Duration;
 
-use cold_model::{BOUND, Breakage, NODES, RATES, Step, Way, World, steps};
+use cold_model::{BOUND, Breakage, LimitMethod, NODES, RATES, Step, World, steps};
 use proof::{cases, config};
 use proptest::prelude::*;
 use proptest::test_runner::TestRunner;
@@ -49,7 +49,7 @@
     type Reference = AnyStep;
 
     fn init_test(rate: &f64) -> World {
-        World::new(Way::Leaves, *rate, Breakage::None)
+        World::new(LimitMethod::Permits, *rate, Breakage::None)
     }
 
     fn apply(mut world: World, _: &f64, step: Step) -> World {
@@ -58,7 +58,7 @@
     }
 
     fn check_invariants(world: &World, _: &f64) {
-        assert_eq!(world.broken_window(), None);
+        assert_eq!(world.violated_window(), None);
     }
 }
 
@@ -66,64 +66,73 @@
     #![proptest_config(config(cases(DEFAULT_CASES)))]
 
     #[test]
-    fn no_second_holds_more_than_its_bound(sequential 1..60 => ColdServer);
+    fn no_window_exceeds_the_request_limit(sequential 1..60 => ColdServer);
 }
 
 /// Whether random steps find a second that holds more than its bound.
-fn is_noticed(way: Way, breakage: Breakage) -> bool {
+fn finds_violation(method: LimitMethod, breakage: Breakage) -> bool {
     // With 300 cases of seed 11 leaves that do not end were not noticed.
     let mut runner = TestRunner::new(config(5_000));
     let cases = proptest::collection::vec(steps(), 1..60);
     let played = runner.run(&cases, |steps| {
-        let mut world = World::new(way, RATES[1], breakage);
+        let mut world = World::new(method, RATES[1], breakage);
         steps.into_iter().for_each(|step| world.apply(step));
-        prop_assert!(world.broken_window().is_none());
+        prop_assert!(world.violated_window().is_none());
         Ok(())
     });
     played.is_err()
 }
 
 #[test]
-fn the_model_notices_each_mechanism_that_is_taken_out() {
+fn removing_any_mechanism_is_detected() {
     for breakage in [
         Breakage::NoMajority,
-        Breakage::OldEntries,
-        Breakage::LastingLeaves,
+        Breakage::OutdatedEntries,
+        Breakage::NonExpiringPermits,
     ] {
-        assert!(is_noticed(Way::Leaves, breakage), "{breakage:?}");
+        assert!(
+            finds_violation(LimitMethod::Permits, breakage),
+            "{breakage:?}"
+        );
     }
 }
 
 #[test]
-fn the_other_ways_exceed_the_bound_when_lists_differ() {
-    for way in [Way::FirstHome, Way::Shares] {
-        assert!(is_noticed(way, Breakage::None), "{way:?}");
+fn other_methods_exceed_the_limit_when_node_lists_differ() {
+    for method in [LimitMethod::Forwarding, LimitMethod::EqualShares] {
+        assert!(finds_violation(method, Breakage::None), "{method:?}");
     }
 }
 
 /// Ten seconds of one situation: the fullest second, the share of the rate that was used, and how
 /// long requests waited.
-fn measure(way: Way, rate: f64, trouble: &[Step]) -> (usize, f64, Duration) {
-    let mut world = World::new(way, rate, Breakage::None);
-    world.apply(Step::Pass(50));
-    trouble.iter().cloned().for_each(|step| world.apply(step));
+fn measure(method: LimitMethod, rate: f64, disruptions: &[Step]) -> (usize, f64, Duration) {
+    let mut world = World::new(method, rate, Breakage::None);
+    world.apply(Step::Advance(50));
+    disruptions
+        .iter()
+        .cloned()
+        .for_each(|step| world.apply(step));
     let before = world.sent();
-    (0..10).for_each(|_| world.apply(Step::Pass(50)));
+    (0..10).for_each(|_| world.apply(Step::Advance(50)));
     let used = (world.sent() - before) as f64 / (rate * 10.0);
-    (world.fullest_window(), used, world.mean_wait())
+    (world.max_window_requests(), used, world.mean_wait())
 }
 
 #[test]
-fn ways_compared() {
+fn limit_methods_compared() {
     let half = [
         Step::Cut(0b0_0011),
-        Step::Believe(0, 0b0_0011),
-        Step::Believe(1, 0b0_0011),
-        Step::Believe(2, 0b1_1100),
-        Step::Believe(3, 0b1_1100),
-        Step::Believe(4, 0b1_1100),
+        Step::SetReachable(0, 0b0_0011),
+        Step::SetReachable(1, 0b0_0011),
+        Step::SetReachable(2, 0b1_1100),
+        Step::SetReachable(3, 0b1_1100),
+        Step::SetReachable(4, 0b1_1100),
+    ];
+    let late = [
+        Step::SetReachable(3, 0b1_1000),
+        Step::SetReachable(4, 0b1_1000),
     ];
-    let late = [Step::Believe(3, 0b1_1000), Step::Believe(4, 0b1_1000)];
     let lone = [Step::Freeze(1, true), Step::Freeze(2, true)];
     let situations: [(&str, &[Step]); 4] = [
         ("calm", &[]),
@@ -132,15 +141,21 @@
         ("two stand still", &lone),
     ];
     println!("| situation | rate | way | fullest second / bound | share of the rate | wait ms |");
-    for (name, trouble) in situations {
+    for (name, disruptions) in situations {
         for rate in RATES {
-            for way in [Way::Leaves, Way::FirstHome, Way::Shares] {
-                let (fullest, used, wait) = measure(way, rate, trouble);
-                let most = BOUND.max_requests(rate);
+            for method in [
+                LimitMethod::Permits,
+                LimitMethod::Forwarding,
+                LimitMethod::EqualShares,
+            ] {
+                let (highest_count, used, wait) = measure(method, rate, disruptions);
+                let max_requests = BOUND.max_requests(rate);
                 let wait = wait.as_millis();
-                println!("| {name} | {rate} | {way:?} | {fullest} / {most} | {used:.2} | {wait} |");
-                if way == Way::Leaves {
-                    assert!(fullest as f64 <= most, "{name} {rate}");
+                println!(
+                    "| {name} | {rate} | {method:?} | {highest_count} / {max_requests} | {used:.2} | {wait} |"
+                );
+                if method == LimitMethod::Permits {
+                    assert!(highest_count as f64 <= max_requests, "{name} {rate}");
                     assert!(used >= 0.75, "{name} {rate}: {used}");
                 }
             }
@@ -149,18 +164,18 @@
 }
 
 #[test]
-fn a_whole_cut_in_three_parts_serves_little_and_exceeds_nothing() {
-    let mut world = World::new(Way::Leaves, RATES[1], Breakage::None);
-    world.apply(Step::Pass(50));
+fn isolated_nodes_do_not_exceed_the_limit() {
+    let mut world = World::new(LimitMethod::Permits, RATES[1], Breakage::None);
+    world.apply(Step::Advance(50));
     for node in 0..NODES {
-        world.apply(Step::Believe(node, 1 << node));
+        world.apply(Step::SetReachable(node, 1 << node));
     }
-    world.apply(Step::Pass(250));
-    assert_eq!(world.broken_window(), None);
+    world.apply(Step::Advance(250));
+    assert_eq!(world.violated_window(), None);
 }
 
 #[test]
-fn a_newer_entry_turns_a_server_cold_again_and_one_told_again_does_not() {
+fn only_a_newer_entry_turns_a_server_cold_again() {
     let start = Timestamp::from_millis(10_000);
     let second = Duration::from_secs(1);
     let mut coldness = ColdState::default();
@@ -182,7 +197,7 @@
 }
 
 #[test]
-fn servers_of_a_zone_taken_back_wait_for_entries_as_new_as_that() {
+fn servers_of_a_reopened_zone_wait_for_entries_as_new_as_the_reopening() {
     assert!(!is_entry_outdated(None, StoreVersion::from_bits(0)));
     assert!(is_entry_outdated(
         Some(StoreVersion::from_bits(8)),
@@ -195,7 +210,7 @@
 }
 
 #[test]
-fn a_pause_is_known_without_taking_a_leave() {
+fn a_retry_delay_is_known_without_acquiring_a_permit() {
     let now = Timestamp::from_millis(10_000);
     let pause = Duration::from_millis(80);
     let mut ledger = Ledger::default();
@@ -213,7 +228,7 @@
 }
 
 #[test]
-fn a_bound_below_one_request_lets_none_pass() {
+fn a_limit_below_one_request_allows_none() {
     let bound = |overage, slack| ColdBound { overage, slack };
     assert_eq!(bound(1.5, 0.0).authority_rate(0.5), None);
     let rate = bound(1.5, 5.0).authority_rate(20.0).expect("allowed");
--- a/crates/spurpier-core/tests/cold_model/mod.rs
+++ b/crates/spurpier-core/tests/cold_model/mod.rs
@@ -33,13 +33,13 @@
 
 /// How requests are bounded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum LimitMethod {
     /// One authority gives leaves; nodes vote for it by asking.
-    Leaves,
+    Permits,
     /// The first-ranked node of each node's list sends, and the others hand on to it.
-    FirstHome,
+    Forwarding,
     /// Each node sends an equal part, by the number of nodes on its list.
-    Shares,
+    EqualShares,
 }
 
 /// A mechanism that is taken out.
@@ -49,32 +49,32 @@
     /// An authority gives the whole rate whoever asks.
     NoMajority,
     /// A server that comes back is used whatever entry is known of it.
-    OldEntries,
-    /// Leaves do not end.
-    LastingLeaves,
+    OutdatedEntries,
+    /// Permits do not end.
+    NonExpiringPermits,
 }
 
 /// What happens next.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
     /// So many turns pass.
-    Pass(u8),
+    Advance(u8),
     /// The nodes of a set and the others no longer reach each other; an empty set heals it.
     Cut(u8),
     /// Which nodes a node lists and takes to be reachable, whether they are or not.
-    Believe(usize, u8),
+    SetReachable(usize, u8),
     /// A node's list holds one more node, or not any more.
-    Listed(usize, bool),
+    SetExtraListed(usize, bool),
     /// A node stands still, or goes on.
     Freeze(usize, bool),
     /// A node's process ends and starts again.
     Restart(usize),
     /// How long messages take from now on, in milliseconds.
-    Delay(u64),
+    SetDelay(u64),
     /// Every n-th message is doubled, and every other n-th lost; 0 for none.
-    Disturb(u8),
+    SetDisturbance(u8),
     /// How many requests clients ask for at each node and turn.
-    Demand(u8),
+    SetDemand(u8),
     /// The server's zone was evacuated and is taken back, and it has turned cold meanwhile. A node
     /// learns of the first after one number of turns and of its entry after another.
     TurnCold(usize, u8, u8),
@@ -85,44 +85,44 @@
     let node = 0..NODES;
     let set = 0_u8..(1 << NODES);
     prop_oneof![
-        8 => (1_u8..50).prop_map(Step::Pass),
+        8 => (1_u8..50).prop_map(Step::Advance),
         2 => set.clone().prop_map(Step::Cut),
         1 => Just(Step::Cut(0)),
-        3 => (node.clone(), set).prop_map(|(node, set)| Step::Believe(node, set)),
-        1 => (node.clone(), any::<bool>()).prop_map(|(node, is)| Step::Listed(node, is)),
+        3 => (node.clone(), set).prop_map(|(node, set)| Step::SetReachable(node, set)),
+        1 => (node.clone(), any::<bool>()).prop_map(|(node, is)| Step::SetExtraListed(node, is)),
         2 => (node.clone(), any::<bool>()).prop_map(|(node, is)| Step::Freeze(node, is)),
         1 => node.clone().prop_map(Step::Restart),
-        2 => (0_u64..700).prop_map(Step::Delay),
-        1 => (0_u8..6).prop_map(Step::Disturb),
-        1 => (0_u8..12).prop_map(Step::Demand),
+        2 => (0_u64..700).prop_map(Step::SetDelay),
+        1 => (0_u8..6).prop_map(Step::SetDisturbance),
+        1 => (0_u8..12).prop_map(Step::SetDemand),
         1 => (node, 0_u8..60, 0_u8..60).prop_map(|(n, one, two)| Step::TurnCold(n, one, two)),
     ]
 }
 
 #[derive(Debug, Clone, Copy)]
 enum Message {
-    Question {
+    PermitRequest {
         waiting: u32,
         sent_after: Option<Stamp>,
     },
-    Answer {
+    PermitReply {
         grant: Grant,
         waiting: u32,
         has_majority: bool,
         stamp: Stamp,
     },
     /// A request that another node is to send.
-    HandedOn { asked_at: Timestamp },
+    Forwarded { asked_at: Timestamp },
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Mail {
+struct Envelope {
     from: usize,
     to: usize,
     arrives_at: Timestamp,
     asked_at: Timestamp,
-    /// The life of the process that asked.
-    life: u64,
+    /// The incarnation of the process that asked.
+    incarnation: u64,
     message: Message,
 }
 
@@ -134,28 +134,28 @@
     bucket: Bucket,
     reachable: u8,
     /// How many nodes its list holds beside those of the model.
-    more_listed: usize,
+    extra_listed: usize,
     is_frozen: bool,
-    life: u64,
+    incarnation: u64,
     coldness: ColdState,
     entries_known_to: u64,
     reopened_at: Option<u64>,
     /// News on the way: when they come, and whether they are entries.
-    news: Vec<(Timestamp, bool, u64)>,
+    updates: Vec<(Timestamp, bool, u64)>,
 }
 
 /// All nodes, what is on the way between them, and all requests that were sent to the server.
 #[derive(Debug)]
 pub struct World {
-    way: Way,
+    method: LimitMethod,
     breakage: Breakage,
     per_second: f64,
     now: Timestamp,
     nodes: Vec<Node>,
-    mail: Vec<Mail>,
+    in_transit: Vec<Envelope>,
     cut: u8,
     delay: Duration,
-    disturbed: u8,
+    disturb_every: u8,
     demand: u8,
     version: u64,
     messages: usize,
@@ -164,19 +164,19 @@
 }
 
 impl World {
-    pub fn new(way: Way, per_second: f64, breakage: Breakage) -> Self {
+    pub fn new(method: LimitMethod, per_second: f64, breakage: Breakage) -> Self {
         let now = Timestamp::from_millis(100_000);
         let nodes = (0..NODES).map(|_| new_node(0, 1, now, per_second));
         World {
-            way,
+            method,
             breakage,
             per_second,
             now,
             nodes: nodes.collect(),
-            mail: Vec::new(),
+            in_transit: Vec::new(),
             cut: 0,
             delay: Duration::from_millis(20),
-            disturbed: 0,
+            disturb_every: 0,
             demand: 4,
             version: 1,
             messages: 0,
@@ -186,42 +186,44 @@
 
     pub fn apply(&mut self, step: Step) {
         match step {
-            Step::Pass(turns) => (0..turns).for_each(|_| self.turn()),
+            Step::Advance(turns) => (0..turns).for_each(|_| self.run_turn()),
             Step::Cut(set) => self.cut = set,
-            Step::Believe(node, set) => self.nodes[node].reachable = set,
-            Step::Listed(node, one_more) => self.nodes[node].more_listed = usize::from(one_more),
+            Step::SetReachable(node, set) => self.nodes[node].reachable = set,
+            Step::SetExtraListed(node, one_more) => {
+                self.nodes[node].extra_listed = usize::from(one_more)
+            }
             Step::Freeze(node, is_frozen) => self.nodes[node].is_frozen = is_frozen,
             Step::Restart(node) => {
-                let life = self.nodes[node].life + 1;
-                self.nodes[node] = new_node(life, self.version, self.now, self.per_second);
+                let incarnation = self.nodes[node].incarnation + 1;
+                self.nodes[node] = new_node(incarnation, self.version, self.now, self.per_second);
             }
-            Step::Delay(millis) => self.delay = Duration::from_millis(millis),
-            Step::Disturb(every) => self.disturbed = every,
-            Step::Demand(demand) => self.demand = demand,
+            Step::SetDelay(millis) => self.delay = Duration::from_millis(millis),
+            Step::SetDisturbance(every) => self.disturb_every = every,
+            Step::SetDemand(demand) => self.demand = demand,
             Step::TurnCold(first, removal, entry) => self.turn_cold(first, removal, entry),
         }
     }
 
     /// The requests of the first span that holds more than its bound; none if there is none.
-    pub fn broken_window(&self) -> Option<usize> {
-        let most = BOUND.max_requests(self.per_second);
-        let fullest = self.fullest_window();
-        (fullest as f64 > most).then_some(fullest)
+    pub fn violated_window(&self) -> Option<usize> {
+        let max_requests = BOUND.max_requests(self.per_second);
+        let highest_count = self.max_window_requests();
+        (highest_count as f64 > max_requests).then_some(highest_count)
     }
 
     /// The most requests in any span.
-    pub fn fullest_window(&self) -> usize {
+    pub fn max_window_requests(&self) -> usize {
         let mut moments: Vec<Timestamp> = self.sent.iter().map(|(sent_at, _)| *sent_at).collect();
         moments.sort_unstable();
         let mut first = 0;
-        let mut fullest = 0;
+        let mut highest_count = 0;
         for (last, end) in moments.iter().enumerate() {
             while end.since(moments[first]) >= COLD_WINDOW {
                 first += 1;
             }
-            fullest = fullest.max(last + 1 - first);
+            highest_count = highest_count.max(last + 1 - first);
         }
-        fullest
+        highest_count
     }
 
     /// How many requests were sent.
@@ -254,19 +256,19 @@
             node.coldness = ColdState::default();
             node.entries_known_to = entry_version - 1;
             node.reopened_at = Some(u64::MAX);
-            node.news = vec![
+            node.updates = vec![
                 (removal_at, false, removal_version),
                 (entry_at, true, removal_version),
             ];
         }
     }
 
-    fn turn(&mut self) {
+    fn run_turn(&mut self) {
         self.now = self.now + TURN;
-        self.deliver();
+        self.deliver_due();
         for node in 0..NODES {
             if !self.nodes[node].is_frozen {
-                self.nodes[node].take_news(self.now);
+                self.nodes[node].apply_due_updates(self.now);
                 self.serve_clients(node);
             }
         }
@@ -276,96 +278,99 @@
         (self.cut >> one) & 1 != (self.cut >> other) & 1
     }
 
-    fn post(&mut self, mail: Mail) {
+    fn send(&mut self, envelope: Envelope) {
         self.messages += 1;
-        let every = usize::from(self.disturbed);
+        let every = usize::from(self.disturb_every);
         if every > 0 && self.messages.is_multiple_of(2 * every) {
             return;
         }
-        self.mail.push(mail);
+        self.in_transit.push(envelope);
         if every > 0 && self.messages.is_multiple_of(every) {
-            let arrives_at = mail.arrives_at + self.delay;
-            self.mail.push(Mail { arrives_at, ..mail });
+            let arrives_at = envelope.arrives_at + self.delay;
+            self.in_transit.push(Envelope {
+                arrives_at,
+                ..envelope
+            });
         }
     }
 
-    fn deliver(&mut self) {
-        for letter in std::mem::take(&mut self.mail) {
-            if letter.arrives_at > self.now || self.nodes[letter.to].is_frozen {
-                self.mail.push(letter);
-            } else if !self.is_cut(letter.from, letter.to) {
-                self.take(letter);
+    fn deliver_due(&mut self) {
+        for envelope in std::mem::take(&mut self.in_transit) {
+            if envelope.arrives_at > self.now || self.nodes[envelope.to].is_frozen {
+                self.in_transit.push(envelope);
+            } else if !self.is_cut(envelope.from, envelope.to) {
+                self.receive(envelope);
             }
         }
     }
 
-    fn take(&mut self, letter: Mail) {
-        match letter.message {
-            Message::Question {
+    fn receive(&mut self, envelope: Envelope) {
+        match envelope.message {
+            Message::PermitRequest {
                 waiting,
                 sent_after,
-            } => self.answer(letter, waiting, sent_after),
-            Message::Answer {
+            } => self.reply(envelope, waiting, sent_after),
+            Message::PermitReply {
                 grant,
                 waiting,
                 has_majority,
                 stamp,
             } => {
-                let node = &mut self.nodes[letter.to];
-                if node.life != letter.life {
+                let node = &mut self.nodes[envelope.to];
+                if node.incarnation != envelope.incarnation {
                     return;
                 }
-                let name = NAMES[letter.from];
+                let name = NAMES[envelope.from];
                 node.choice.note_answer(name, has_majority, stamp, self.now);
                 let asked_at = match self.breakage {
-                    Breakage::LastingLeaves => self.now,
-                    _ => letter.asked_at,
+                    Breakage::NonExpiringPermits => self.now,
+                    _ => envelope.asked_at,
                 };
                 let leaves = node
                     .ledger
                     .note_grant(SERVER, grant, waiting, asked_at, self.now);
                 for _ in leaves {
-                    self.sent.push((self.now, letter.asked_at));
+                    self.sent.push((self.now, envelope.asked_at));
                 }
             }
-            Message::HandedOn { asked_at } => self.send_by_bucket(letter.to, asked_at),
+            Message::Forwarded { asked_at } => self.send_by_bucket(envelope.to, asked_at),
         }
     }
 
-    fn answer(&mut self, letter: Mail, waiting: u32, sent_after: Option<Stamp>) {
+    fn reply(&mut self, envelope: Envelope, waiting: u32, sent_after: Option<Stamp>) {
         let want = Want {
             waiting,
             rate: self.rate(),
             version: 1,
         };
-        let node = &mut self.nodes[letter.to];
+        let node = &mut self.nodes[envelope.to];
         let listed = match self.breakage {
             Breakage::NoMajority => 1,
-            _ => NODES + node.more_listed,
+            _ => NODES + node.extra_listed,
         };
         let authority = &mut node.authority;
         let stamp = authority.stamp(self.now);
-        authority.note_vote(NAMES[letter.from], sent_after, listed, self.now);
+        authority.note_vote(NAMES[envelope.from], sent_after, listed, self.now);
         let grant = authority.grant(SERVER, want, 0.5, self.now);
-        let message = Message::Answer {
+        let message = Message::PermitReply {
             grant,
             waiting,
             has_majority: authority.has_majority(),
             stamp,
         };
-        let answer = Mail {
-            from: letter.to,
-            to: letter.from,
+        let reply = Envelope {
+            from: envelope.to,
+            to: envelope.from,
             arrives_at: self.now + self.delay,
             message,
-            ..letter
+            ..envelope
         };
-        self.post(answer);
+        self.send(reply);
     }
 
     fn serve_clients(&mut self, node: usize) {
         let known = &self.nodes[node];
-        let is_outdated = self.breakage != Breakage::OldEntries
+        let is_outdated = self.breakage != Breakage::OutdatedEntries
             && is_entry_outdated(
                 known.reopened_at.map(StoreVersion::from_bits),
                 StoreVersion::from_bits(known.entries_known_to),
@@ -378,10 +383,10 @@
             self.send_freely(node);
             return;
         }
-        match self.way {
-            Way::Leaves => self.ask_for_leaves(node),
-            Way::FirstHome => self.hand_on(node),
-            Way::Shares => {
+        match self.method {
+            LimitMethod::Permits => self.request_permits(node),
+            LimitMethod::Forwarding => self.forward(node),
+            LimitMethod::EqualShares => {
                 for _ in 0..self.demand {
                     self.send_by_bucket(node, self.now);
                 }
@@ -400,11 +405,11 @@
 
     /// Sends a request if this node's own bucket allows it.
     fn send_by_bucket(&mut self, node: usize, asked_at: Timestamp) {
-        let (now, rate, way) = (self.now, self.rate(), self.way);
+        let (now, rate, method) = (self.now, self.rate(), self.method);
         let node = &mut self.nodes[node];
-        let parts = match way {
-            Way::Shares => node.reachable.count_ones().max(1),
-            Way::Leaves | Way::FirstHome => 1,
+        let parts = match method {
+            LimitMethod::EqualShares => node.reachable.count_ones().max(1),
+            LimitMethod::Permits | LimitMethod::Forwarding => 1,
         };
         let per_second = (rate.per_second + rate.burst) / f64::from(parts);
         let budget = Budget {
@@ -420,7 +425,7 @@
         }
     }
 
-    fn hand_on(&mut self, node: usize) {
+    fn forward(&mut self, node: usize) {
         let reachable = self.nodes[node].reachable;
         let first = (0..NODES).find(|other| (reachable >> other) & 1 == 1);
         let Some(first) = first else {
@@ -431,19 +436,19 @@
                 self.send_by_bucket(node, self.now);
                 continue;
             }
-            let mail = Mail {
+            let envelope = Envelope {
                 from: node,
                 to: first,
                 arrives_at: self.now + self.delay,
                 asked_at: self.now,
-                life: self.nodes[node].life,
-                message: Message::HandedOn { asked_at: self.now },
+                incarnation: self.nodes[node].incarnation,
+                message: Message::Forwarded { asked_at: self.now },
             };
-            self.post(mail);
+            self.send(envelope);
         }
     }
 
-    fn ask_for_leaves(&mut self, node: usize) {
+    fn request_permits(&mut self, node: usize) {
         let mut waiting = 0;
         for _ in 0..self.demand {
             match self.nodes[node].ledger.take(SERVER, self.now) {
@@ -455,31 +460,31 @@
         let asked_for = self.nodes[node].choice.asked_for(self.now);
         let is_vote_due = asked_for.is_none_or(|time| time >= VOTE_INTERVAL);
         if waiting > 0 || is_vote_due {
-            self.ask(node, waiting);
+            self.send_permit_request(node, waiting);
         }
     }
 
-    fn ask(&mut self, node: usize, waiting: u32) {
-        let Some(authority) = self.choose(node) else {
+    fn send_permit_request(&mut self, node: usize, waiting: u32) {
+        let Some(authority) = self.choose_authority(node) else {
             return;
         };
         self.nodes[node].choice.note_asked(self.now);
         let sent_after = self.nodes[node].choice.sent_after(self.now);
-        let question = Mail {
+        let request = Envelope {
             from: node,
             to: authority,
             arrives_at: self.now + self.delay,
             asked_at: self.now,
-            life: self.nodes[node].life,
-            message: Message::Question {
+            incarnation: self.nodes[node].incarnation,
+            message: Message::PermitRequest {
                 waiting,
                 sent_after,
             },
         };
-        self.post(question);
+        self.send(request);
     }
 
-    fn choose(&mut self, node: usize) -> Option<usize> {
+    fn choose_authority(&mut self, node: usize) -> Option<usize> {
         let now = self.now;
         let reachable = self.nodes[node].reachable;
         let names = NAMES.iter().enumerate();
@@ -493,11 +498,11 @@
 }
 
 impl Node {
-    fn take_news(&mut self, now: Timestamp) {
-        let (come, on_the_way) = self.news.iter().partition(|(at, ..)| *at <= now);
-        self.news = on_the_way;
-        let come: Vec<(Timestamp, bool, u64)> = come;
-        for (_, is_entry, version) in come {
+    fn apply_due_updates(&mut self, now: Timestamp) {
+        let (due, later) = self.updates.iter().partition(|(at, ..)| *at <= now);
+        self.updates = later;
+        let due: Vec<(Timestamp, bool, u64)> = due;
+        for (_, is_entry, version) in due {
             if is_entry {
                 self.entries_known_to = version;
                 self.coldness
@@ -510,7 +515,7 @@
 }
 
 /// A node that knows the server to be cold.
-fn new_node(life: u64, version: u64, now: Timestamp, per_second: f64) -> Node {
+fn new_node(incarnation: u64, version: u64, now: Timestamp, per_second: f64) -> Node {
     let mut coldness = ColdState::default();
     coldness.record_entry(
         Duration::from_secs(3_600),
@@ -522,16 +527,16 @@
         .expect("more than one request");
     Node {
         ledger: Ledger::default(),
-        authority: Authority::new(ColdBound::AUTHORITY_BOUND, life),
+        authority: Authority::new(ColdBound::AUTHORITY_BOUND, incarnation),
         choice: AuthorityChoice::new(VOTE_LIFE),
         bucket: Bucket::begun_at(Budget::of(rate, ColdBound::AUTHORITY_BOUND), now),
         reachable: (1 << NODES) - 1,
-        more_listed: 0,
+        extra_listed: 0,
         is_frozen: false,
-        life,
+        incarnation,
         coldness,
         entries_known_to: version,
         reopened_at: None,
-        news: Vec::new(),
+        updates: Vec::new(),
     }
 }
--- a/crates/spurpier-core/tests/evacuations.rs
+++ b/crates/spurpier-core/tests/evacuations.rs
@@ -23,7 +23,7 @@
 }
 
 /// A node that was told at 10 s that nothing is evacuated, and then that `a` is.
-fn told_of_a() -> Evacuations {
+fn notified_of_a() -> Evacuations {
     let mut known = Evacuations::new(BOUND);
     known.apply(&zones(&[]), StoreVersion::from_bits(1), None);
     let changes = known.apply(&zones(&["a"]), StoreVersion::from_bits(2), Some(at(10_000)));
@@ -32,23 +32,23 @@
 }
 
 #[test]
-fn an_evacuated_zone_is_left_first_and_closed_before_the_bound() {
-    let known = told_of_a();
+fn an_evacuated_zone_closes_before_the_bound() {
+    let known = notified_of_a();
     assert_eq!(known.phase("a", at(13_499)), ZonePhase::Evacuating);
     assert_eq!(known.phase("a", at(13_500)), ZonePhase::Closed);
     assert_eq!(known.phase("b", at(13_500)), ZonePhase::Open);
 }
 
 #[test]
-fn a_node_that_starts_later_closes_at_once() {
+fn a_node_started_after_an_evacuation_closes_the_zone_at_once() {
     let mut known = Evacuations::new(BOUND);
     known.apply(&zones(&["a"]), StoreVersion::from_bits(7), None);
     assert_eq!(known.phase("a", at(1)), ZonePhase::Closed);
 }
 
 #[test]
-fn a_row_that_is_told_again_does_not_put_the_closing_off() {
-    let mut known = told_of_a();
+fn a_row_reported_again_does_not_postpone_the_closing() {
+    let mut known = notified_of_a();
     let changes = known.apply(
         &zones(&["a", "b"]),
         StoreVersion::from_bits(3),
@@ -60,8 +60,8 @@
 }
 
 #[test]
-fn a_zone_that_is_taken_back_is_open_and_keeps_the_version() {
-    let mut known = told_of_a();
+fn a_reopened_zone_is_open_and_keeps_its_version() {
+    let mut known = notified_of_a();
     assert_eq!(
         known.reopened_at("a"),
         Some(StoreVersion::from_bits(1)),
@@ -88,23 +88,23 @@
     /// The operator writes or removes a row.
     Write { zone: &'static str, is_there: bool },
     /// The store tells, as it was so many milliseconds ago, and the answer takes so many more.
-    Tell { held_back: u64, way: u64 },
+    Report { lag: u64, transit: u64 },
     /// An answer arrives again.
-    TellAgain(usize),
+    Redeliver(usize),
     /// The process starts anew.
     Restart,
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let held_back = u64::try_from(MAX_STORE_LAG.as_millis()).expect("short");
+    let lag = u64::try_from(MAX_STORE_LAG.as_millis()).expect("short");
     let step = prop_oneof![
         4 => (1_u64..1_500).prop_map(Step::Wait),
         1 => (1_500_u64..20_000).prop_map(Step::Wait),
         3 => (select(ZONES.to_vec()), any::<bool>())
             .prop_map(|(zone, is_there)| Step::Write { zone, is_there }),
-        6 => (0..held_back, 0_u64..2_000)
-            .prop_map(|(held_back, way)| Step::Tell { held_back, way }),
-        1 => (0_usize..8).prop_map(Step::TellAgain),
+        6 => (0..lag, 0_u64..2_000)
+            .prop_map(|(lag, transit)| Step::Report { lag, transit }),
+        1 => (0_usize..8).prop_map(Step::Redeliver),
         1 => Just(Step::Restart),
     ];
     prop::collection::vec(step, 1..60)
@@ -112,25 +112,25 @@
 
 /// A state of the rows, and since when the store has it.
 #[derive(Debug, Clone)]
-struct Written {
+struct RowState {
     at: u64,
     zones: BTreeSet<String>,
 }
 
 /// What the store told: its version, when it told that, and when it arrives.
 #[derive(Debug, Clone, Copy)]
-struct Told {
+struct Report {
     version: usize,
-    told_at: u64,
+    reported_at: u64,
     arrives_at: u64,
 }
 
 /// The store's rows over time, and a node that is told of them.
 struct World {
     now: u64,
-    history: Vec<Written>,
-    under_way: Vec<Told>,
-    arrived: Vec<Told>,
+    history: Vec<RowState>,
+    in_transit: Vec<Report>,
+    delivered: Vec<Report>,
     node: Evacuations,
     /// The version that the node knows, and up to when the store had told of it.
     known: Option<(usize, u64)>,
@@ -140,31 +140,31 @@
     fn new() -> Self {
         World {
             now: 100_000,
-            history: vec![Written {
+            history: vec![RowState {
                 at: 0,
                 zones: BTreeSet::new(),
             }],
-            under_way: Vec::new(),
-            arrived: Vec::new(),
+            in_transit: Vec::new(),
+            delivered: Vec::new(),
             node: Evacuations::new(BOUND),
             known: None,
         }
     }
 
-    fn play(&mut self, step: &Step) {
+    fn apply(&mut self, step: &Step) {
         match step {
             Step::Wait(millis) => self.wait(*millis),
             Step::Write { zone, is_there } => self.write(zone, *is_there),
-            Step::Tell { held_back, way } => self.tell(*held_back, *way),
-            Step::TellAgain(index) => {
-                if let Some(told) = self.arrived.get(*index).copied() {
-                    self.take(told);
+            Step::Report { lag, transit } => self.report(*lag, *transit),
+            Step::Redeliver(index) => {
+                if let Some(report) = self.delivered.get(*index).copied() {
+                    self.take(report);
                 }
             }
             Step::Restart => {
                 self.node = Evacuations::new(BOUND);
                 self.known = None;
-                self.under_way.clear();
+                self.in_transit.clear();
             }
         }
     }
@@ -177,16 +177,16 @@
             zones.remove(zone);
         }
         let at = self.now;
-        self.history.push(Written { at, zones });
+        self.history.push(RowState { at, zones });
     }
 
-    fn tell(&mut self, held_back: u64, way: u64) {
-        let as_of = self.now - held_back;
+    fn report(&mut self, lag: u64, transit: u64) {
+        let as_of = self.now - lag;
         let version = self.history.iter().rposition(|written| written.at <= as_of);
-        self.under_way.push(Told {
+        self.in_transit.push(Report {
             version: version.expect("the first one is old"),
-            told_at: self.now,
-            arrives_at: self.now + way,
+            reported_at: self.now,
+            arrives_at: self.now + transit,
         });
     }
 
@@ -196,33 +196,39 @@
         while self.now < end {
             self.now = end.min(self.now + 50);
             let (due, later) = self
-                .under_way
+                .in_transit
                 .drain(..)
-                .partition(|told| told.arrives_at <= self.now);
-            self.under_way = later;
-            let due: Vec<Told> = due;
-            for told in due {
-                self.arrived.push(told);
-                self.take(told);
+                .partition(|report| report.arrives_at <= self.now);
+            self.in_transit = later;
+            let due: Vec<Report> = due;
+            for report in due {
+                self.delivered.push(report);
+                self.take(report);
             }
             self.check();
         }
     }
 
     /// As a follower does: what is older than the known version is passed over.
-    fn take(&mut self, told: Told) {
+    fn take(&mut self, report: Report) {
         if self
             .known
-            .is_some_and(|(version, _)| told.version < version)
+            .is_some_and(|(version, _)| report.version < version)
         {
             return;
         }
-        let before = self.known.map(|(_, told_at)| at(told_at));
-        let zones = &self.history[told.version].zones;
-        self.node
-            .apply(zones, StoreVersion::from_bits(told.version as u64), before);
-        let told_at = self.known.map_or(0, |(_, known)| known).max(told.told_at);
-        self.known = Some((told.version, told_at));
+        let before = self.known.map(|(_, reported_at)| at(reported_at));
+        let zones = &self.history[report.version].zones;
+        self.node.apply(
+            zones,
+            StoreVersion::from_bits(report.version as u64),
+            before,
+        );
+        let reported_at = self
+            .known
+            .map_or(0, |(_, known)| known)
+            .max(report.reported_at);
+        self.known = Some((report.version, reported_at));
     }
 
     /// The rule: what a node sends that knows of a row arrives no later than the bound after it.
@@ -235,8 +241,8 @@
                 assert_eq!(self.node.phase(zone, at(self.now)), ZonePhase::Open);
                 continue;
             };
-            let way = u64::try_from(DELIVERY_MARGIN.as_millis()).expect("short");
-            let arrives_at = self.now + way;
+            let transit = u64::try_from(DELIVERY_MARGIN.as_millis()).expect("short");
+            let arrives_at = self.now + transit;
             let bound = u64::try_from(BOUND.as_millis()).expect("short");
             if arrives_at > written_at + bound {
                 assert_eq!(
@@ -260,50 +266,59 @@
 
 proptest! {
     #[test]
-    fn nothing_that_is_sent_arrives_later_than_the_bound(steps in steps()) {
+    fn no_statement_arrives_after_the_evacuation_bound(steps in steps()) {
         let mut world = World::new();
         for step in &steps {
-            world.play(step);
+            world.apply(step);
         }
     }
 }
 
-/// The zones that count as evacuated, of which `known` did before and the store tells `told`.
-fn counted(
-    held: &mut RetainedZones,
+/// The zones that count as evacuated, of which `known` did before and the store tells `report`.
+fn evacuated(
+    retained: &mut RetainedZones,
     known: &[&str],
-    told: &[&str],
+    reported: &[&str],
     era: u64,
     now: Timestamp,
 ) -> String {
     let era = StoreEra::new(era).expect("a small number");
     let known = known.iter().map(|zone| (*zone).to_owned());
-    let counted = held.with_retained(known, &zones(told), era, now);
-    counted.into_iter().collect::<Vec<_>>().join(" ")
+    let evacuated = retained.with_retained(known, &zones(reported), era, now);
+    evacuated.into_iter().collect::<Vec<_>>().join(" ")
 }
 
 #[test]
-fn a_zone_whose_row_the_store_has_lost_stays_evacuated_until_it_is_written_again() {
-    let mut held = RetainedZones::default();
-    assert_eq!(counted(&mut held, &[], &["a", "b"], 1, at(0)), "a b");
-    assert_eq!(counted(&mut held, &["a", "b"], &["b"], 1, at(1_000)), "b");
+fn a_zone_with_a_lost_row_stays_evacuated_until_the_row_is_written_again() {
+    let mut retained = RetainedZones::default();
+    assert_eq!(evacuated(&mut retained, &[], &["a", "b"], 1, at(0)), "a b");
+    assert_eq!(
+        evacuated(&mut retained, &["a", "b"], &["b"], 1, at(1_000)),
+        "b"
+    );
     let returned = at(2_000);
-    assert_eq!(counted(&mut held, &["b"], &["a"], 2, returned), "a b");
-    assert_eq!(held.retained_until(), Some(returned + REWRITE_GRACE_PERIOD));
+    assert_eq!(evacuated(&mut retained, &["b"], &["a"], 2, returned), "a b");
+    assert_eq!(
+        retained.retained_until(),
+        Some(returned + REWRITE_GRACE_PERIOD)
+    );
     // Written again, and then taken away.
-    assert_eq!(counted(&mut held, &["a", "b"], &["b"], 2, at(3_000)), "b");
-    assert_eq!(held.retained_until(), None);
-    assert_eq!(counted(&mut held, &["b"], &[], 2, at(4_000)), "");
+    assert_eq!(
+        evacuated(&mut retained, &["a", "b"], &["b"], 2, at(3_000)),
+        "b"
+    );
+    assert_eq!(retained.retained_until(), None);
+    assert_eq!(evacuated(&mut retained, &["b"], &[], 2, at(4_000)), "");
 }
 
 #[test]
-fn a_zone_whose_row_is_not_written_again_is_taken_back_in_the_end() {
-    let mut held = RetainedZones::default();
-    assert_eq!(counted(&mut held, &[], &["a"], 1, at(0)), "a");
-    assert_eq!(counted(&mut held, &["a"], &[], 2, at(1_000)), "a");
+fn a_zone_with_a_lost_row_reopens_after_the_grace_period() {
+    let mut retained = RetainedZones::default();
+    assert_eq!(evacuated(&mut retained, &[], &["a"], 1, at(0)), "a");
+    assert_eq!(evacuated(&mut retained, &["a"], &[], 2, at(1_000)), "a");
     let end = at(1_000) + REWRITE_GRACE_PERIOD;
     let last = Timestamp::from_micros(end.as_micros() - 1);
-    assert_eq!(counted(&mut held, &["a"], &[], 2, last), "a");
-    assert_eq!(counted(&mut held, &["a"], &[], 2, end), "");
-    assert_eq!(held.retained_until(), None);
+    assert_eq!(evacuated(&mut retained, &["a"], &[], 2, last), "a");
+    assert_eq!(evacuated(&mut retained, &["a"], &[], 2, end), "");
+    assert_eq!(retained.retained_until(), None);
 }
--- a/crates/spurpier-core/tests/places.rs
+++ b/crates/spurpier-core/tests/places.rs
@@ -7,13 +7,13 @@
 }
 
 #[test]
-fn without_a_bound_every_region_is_allowed_also_one_that_is_not_known() {
+fn unrestricted_regions_allow_known_and_unknown_regions() {
     assert!(AllowedRegions::ANYWHERE.allows(Some("north")));
     assert!(AllowedRegions::ANYWHERE.allows(None));
 }
 
 #[test]
-fn a_bound_allows_its_regions_alone() {
+fn a_restriction_allows_only_its_regions() {
     let north = only(&["north"]);
     assert!(north.allows(Some("north")));
     assert!(!north.allows(Some("south")));
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn two_bounds_leave_what_both_allow() {
+fn an_intersection_allows_what_both_restrictions_allow() {
     let both = only(&["north", "south"]).intersection(&only(&["south", "west"]));
     assert_eq!(both, only(&["south"]));
     assert_eq!(AllowedRegions::ANYWHERE.intersection(&both), both);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn bounds_without_a_common_region_allow_none_rather_than_all() {
+fn disjoint_restrictions_allow_no_region() {
     let none = only(&["north"]).intersection(&only(&["south"]));
     assert!(none.is_nowhere());
     assert!(!none.is_anywhere());
--- a/crates/spurpier-core/tests/primary_moves.rs
+++ b/crates/spurpier-core/tests/primary_moves.rs
@@ -27,70 +27,72 @@
 
 /// A group whose primary moves as soon as it is wanted elsewhere.
 struct Group {
-    levels: DecayingDemand,
-    policy: PrimaryMovePlanner,
-    present: String,
+    recent_demand: DecayingDemand,
+    planner: PrimaryMovePlanner,
+    current: String,
     now: Timestamp,
     moves: Vec<(Timestamp, String)>,
 }
 
 impl Group {
-    fn in_region(present: &str) -> Self {
+    fn in_region(current: &str) -> Self {
         Group {
-            levels: DecayingDemand::default(),
-            policy: PrimaryMovePlanner::default(),
-            present: present.to_owned(),
+            recent_demand: DecayingDemand::default(),
+            planner: PrimaryMovePlanner::default(),
+            current: current.to_owned(),
             now: Timestamp::from_millis(100_000),
             moves: Vec::new(),
         }
     }
 
-    fn step(&mut self, told: &[RegionDemand]) {
+    fn step(&mut self, reported: &[RegionDemand]) {
         self.now = self.now + STEP;
-        self.levels.record(told, self.now);
+        self.recent_demand.record(reported, self.now);
         let candidates = set(&REGIONS);
-        let (levels, present) = (&self.levels, self.present.as_str());
-        let wanted = self.policy.decide(levels, present, &candidates, self.now);
+        let (recent_demand, current) = (&self.recent_demand, self.current.as_str());
+        let wanted = self
+            .planner
+            .decide(recent_demand, current, &candidates, self.now);
         if let Some(region) = wanted {
-            assert_ne!(region, self.present, "it stands there");
+            assert_ne!(region, self.current, "it stands there");
             self.moves.push((self.now, region.clone()));
-            self.present = region;
+            self.current = region;
         }
     }
 
-    fn steps(&mut self, count: usize, told: &[RegionDemand]) {
+    fn steps(&mut self, count: usize, reported: &[RegionDemand]) {
         for _ in 0..count {
-            self.step(told);
+            self.step(reported);
         }
     }
 }
 
 #[test]
-fn a_primary_moves_once_to_where_all_bounded_work_is_allowed() {
+fn a_primary_moves_once_to_the_region_that_allows_all_restricted_work() {
     let mut group = Group::in_region("north");
     group.steps(120, &[demand(&["south"], 5)]);
     assert_eq!(group.moves.len(), 1, "{:?}", group.moves);
-    assert_eq!(group.present, "south");
+    assert_eq!(group.current, "south");
 }
 
 #[test]
-fn a_region_of_several_sets_goes_before_one_of_a_greater_set() {
+fn the_region_with_the_most_demand_over_all_sets_is_chosen() {
     let mut group = Group::in_region("north");
-    let told = [
+    let reported = [
         demand(&["east"], 4),
         demand(&["east", "south"], 4),
         demand(&["south"], 1),
     ];
-    group.steps(60, &told);
-    assert_eq!(group.present, "east");
+    group.steps(60, &reported);
+    assert_eq!(group.current, "east");
 }
 
 #[test]
-fn work_that_pulls_to_both_sides_moves_nothing() {
+fn evenly_divided_demand_moves_nothing() {
     for (north, south) in [(5, 5), (40, 60), (6, 4)] {
         let mut group = Group::in_region("north");
-        let told = [demand(&["north"], north), demand(&["south"], south)];
-        group.steps(300, &told);
+        let reported = [demand(&["north"], north), demand(&["south"], south)];
+        group.steps(300, &reported);
         assert_eq!(group.moves, [], "{north} against {south}");
     }
 }
@@ -109,14 +111,17 @@
 }
 
 #[test]
-fn a_move_that_does_not_come_about_is_given_up_and_tried_again_later() {
-    let mut levels = DecayingDemand::default();
-    let mut policy = PrimaryMovePlanner::default();
+fn a_move_that_does_not_happen_is_abandoned_and_retried_later() {
+    let mut recent_demand = DecayingDemand::default();
+    let mut planner = PrimaryMovePlanner::default();
     let (mut now, candidates) = (Timestamp::ZERO, set(&REGIONS));
     let mut tried = Vec::new();
     for second in 0..90_u64 {
-        levels.record(&[demand(&["south"], 5)], now);
-        if policy.decide(&levels, "north", &candidates, now).is_some() {
+        recent_demand.record(&[demand(&["south"], 5)], now);
+        if planner
+            .decide(&recent_demand, "north", &candidates, now)
+            .is_some()
+        {
             tried.push(second);
         }
         now = now + STEP;
@@ -128,20 +133,20 @@
 }
 
 #[test]
-fn a_region_without_a_server_that_could_take_over_is_not_wanted() {
-    let mut levels = DecayingDemand::default();
-    let mut policy = PrimaryMovePlanner::default();
+fn a_region_without_a_candidate_server_is_not_chosen() {
+    let mut recent_demand = DecayingDemand::default();
+    let mut planner = PrimaryMovePlanner::default();
     let mut now = Timestamp::ZERO;
     for _ in 0..30 {
         now = now + STEP;
-        levels.record(&[demand(&["south"], 5)], now);
-        let wanted = policy.decide(&levels, "north", &set(&["east", "north"]), now);
+        recent_demand.record(&[demand(&["south"], 5)], now);
+        let wanted = planner.decide(&recent_demand, "north", &set(&["east", "north"]), now);
         assert_eq!(wanted, None);
     }
 }
 
 #[test]
-fn sets_are_bounded_and_what_is_not_bounded_is_not_counted() {
+fn region_sets_are_limited_and_unrestricted_work_is_not_counted() {
     let mut counts = DemandCounts::default();
     for number in 0..100 {
         counts.count(&AllowedRegions::only([format!("r{number}")]));
@@ -159,7 +164,7 @@
     proptest::sample::subsequence(REGIONS.to_vec(), 1..=REGIONS.len()).prop_map(|names| set(&names))
 }
 
-fn any_told() -> impl Strategy<Value = Vec<RegionDemand>> {
+fn any_report() -> impl Strategy<Value = Vec<RegionDemand>> {
     let one = (any_set(), 0..2_000_u32);
     let one = one.prop_map(|(regions, units)| RegionDemand { regions, units });
     vec(one, 0..4)
@@ -167,16 +172,16 @@
 
 proptest! {
     #[test]
-    fn whatever_is_asked_for_a_primary_moves_at_most_twice_a_minute(
-        told in vec(any_told(), 1..400),
+    fn a_primary_moves_at_most_twice_a_minute_under_any_demand(
+        reported in vec(any_report(), 1..400),
     ) {
         let mut group = Group::in_region("north");
-        for told in &told {
-            group.step(told);
+        for reported in &reported {
+            group.step(reported);
         }
-        for (index, (begun, _)) in group.moves.iter().enumerate() {
+        for (index, (started, _)) in group.moves.iter().enumerate() {
             let within = group.moves[index..].iter();
-            let within = within.filter(|(at, _)| at.since(*begun) < MINUTE);
+            let within = within.filter(|(at, _)| at.since(*started) < MINUTE);
             prop_assert!(within.count() <= 2, "{:?}", group.moves);
         }
         let pairs = group.moves.windows(2);
@@ -186,23 +191,23 @@
 
     /// The oracle: what a region allows, counted plainly; steady demand keeps its shares as it fades.
     #[test]
-    fn steady_demand_moves_a_primary_only_for_a_quarter_more_and_then_for_good(
-        told in any_told(),
+    fn steady_demand_moves_a_primary_once_and_only_for_a_quarter_more(
+        reported in any_report(),
     ) {
         let allowed = |region: &str| -> u64 {
-            let sets = told.iter().filter(|set| set.regions.contains(region));
+            let sets = reported.iter().filter(|set| set.regions.contains(region));
             sets.map(|set| u64::from(set.units)).sum()
         };
-        let total: u64 = told.iter().map(|set| u64::from(set.units)).sum();
+        let total: u64 = reported.iter().map(|set| u64::from(set.units)).sum();
         let best = REGIONS.iter().map(|region| allowed(region)).max().unwrap_or(0);
         let mut group = Group::in_region("north");
-        group.steps(200, &told);
+        group.steps(200, &reported);
         let gain = best - allowed("north");
         if gain * 4 < total || gain == 0 {
             prop_assert_eq!(&group.moves, &[]);
         } else if gain * 4 > total + 1 {
             prop_assert_eq!(group.moves.len(), 1);
-            prop_assert_eq!(allowed(&group.present), best);
+            prop_assert_eq!(allowed(&group.current), best);
         }
     }
 }
--- a/crates/spurpier-core/tests/session.rs
+++ b/crates/spurpier-core/tests/session.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_token_survives_its_text() {
+fn a_token_round_trips_through_its_text() {
     let positions = btree_map(group(), position(), 0..5);
     let checked = runner(1_000).run(&positions, |positions| {
         let token = PositionToken::new(positions);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn garbage_is_no_token_and_never_panics() {
+fn invalid_text_is_rejected_without_a_panic() {
     for text in [
         "a",
         "a=1/1",
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn settings_hang_on_the_commit_and_on_savepoints() {
+fn settings_follow_commits_and_savepoints() {
     let mut settings = SessionSettings::new(vec![("a".to_owned(), "1".to_owned())]);
     settings.apply_in_transaction(set("a", "2"));
     assert_eq!(pairs(&settings), [("a", "1")]);
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_reset_goes_back_to_the_start_up() {
+fn a_reset_restores_the_startup_value() {
     let mut settings = SessionSettings::new(vec![("a".to_owned(), "1".to_owned())]);
     settings.apply(set("a", "2"));
     settings.apply(set("b", "2"));
