--- a/crates/spurpier-core/tests/session.rs
+++ b/crates/spurpier-core/tests/session.rs
@@ -7,7 +7,7 @@
 use proptest::test_runner::{RngSeed, TestRunner};
 use spurpier_core::identity::{DatabaseName, GroupId, Side};
 use spurpier_core::position::Position;
-use spurpier_core::session::{Floors, PositionToken, SessionSettings};
+use spurpier_core::session::{PositionToken, ReadFloors, SessionSettings};
 use spurpier_core::statement::SettingChange;
 
 const SEED: u64 = 20_261_202;
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_token_survives_its_text() {
+fn a_token_round_trips_through_its_text() {
     let positions = btree_map(group(), position(), 0..5);
     let checked = runner(1_000).run(&positions, |positions| {
         let token = PositionToken::new(positions);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn garbage_is_no_token_and_never_panics() {
+fn invalid_text_is_rejected_without_a_panic() {
     for text in [
         "a",
         "a=1/1",
@@ -92,7 +92,7 @@
         })
         .collect();
     let checked = runner(1_000).run(&vec(steps, 0..30), |steps| {
-        let mut floors = Floors::new();
+        let mut floors = ReadFloors::new();
         let mut highest: BTreeMap<usize, Position> = BTreeMap::new();
         for step in steps {
             let raises: Vec<(usize, Position)> = match &step {
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn settings_hang_on_the_commit_and_on_savepoints() {
+fn settings_follow_commits_and_savepoints() {
     let mut settings = SessionSettings::new(vec![("a".to_owned(), "1".to_owned())]);
     settings.apply_in_transaction(set("a", "2"));
     assert_eq!(pairs(&settings), [("a", "1")]);
@@ -146,9 +146,9 @@
     settings.commit();
     assert_eq!(pairs(&settings), [("a", "1")]);
     settings.apply_in_transaction(set("b", "1"));
-    settings.savepoint("s");
+    settings.add_savepoint("s");
     settings.apply_in_transaction(set("c", "1"));
-    settings.savepoint("t");
+    settings.add_savepoint("t");
     settings.apply_in_transaction(set("d", "1"));
     settings.release_savepoint("t");
     settings.rollback_to_savepoint("s");
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_reset_goes_back_to_the_start_up() {
+fn a_reset_restores_the_startup_value() {
     let mut settings = SessionSettings::new(vec![("a".to_owned(), "1".to_owned())]);
     settings.apply(set("a", "2"));
     settings.apply(set("b", "2"));
