--- a/crates/spurpier-core/tests/model/node/mod.rs
+++ b/crates/spurpier-core/tests/model/node/mod.rs
@@ -310,7 +310,10 @@
         {
             return;
         }
-        known.observed = Some(ObservedStatus { requested_at, status });
+        known.observed = Some(ObservedStatus {
+            requested_at,
+            status,
+        });
         known.reachable = true;
         watch.history.observe(&watch.view);
         let units: Vec<u64> = self.nodes[node].units.keys().copied().collect();
