--- a/crates/spurpier-core/benches/decisions.rs
+++ b/crates/spurpier-core/benches/decisions.rs
@@ -1,5 +1,5 @@
-//! The decisions on the statement path, each with what a node has at hand: a cached policy, a
-//! cached classification and a snapshot of the group.
+//! Benchmarks of the decisions on the statement path, with the inputs that a node has: a cached
+//! policy, a cached classification and a snapshot of the group.
 
 use std::hint::black_box;
 use std::time::Duration;
--- a/crates/spurpier-core/benches/ranks.rs
+++ b/crates/spurpier-core/benches/ranks.rs
@@ -1,5 +1,5 @@
-//! What one row of the list of nodes costs a node that ranks the fleet for eight groups: the ranks
-//! moved by that node alone, and computed anew.
+//! Cost of one changed row in the list of nodes for a node that ranks all nodes for eight groups:
+//! rankings updated incrementally, and recomputed.
 
 use std::collections::BTreeMap;
 use std::hint::black_box;
@@ -25,9 +25,9 @@
     }
 }
 
-/// One node goes and comes back: two rows.
+/// One node leaves and rejoins, which changes two rows.
 fn update_incrementally(criterion: &mut Criterion) {
-    let mut benches = criterion.benchmark_group("two rows, ranks moved");
+    let mut benches = criterion.benchmark_group("two rows, rankings updated");
     for size in CLUSTER_SIZES {
         let mut table = RankTable::new(MAX_HOMES);
         for number in 0..GROUPS {
@@ -48,9 +48,9 @@
     }
 }
 
-/// The ranks of all zones computed twice from all nodes.
+/// Computes the rankings of all zones twice from all nodes, once for each changed row.
 fn recompute(criterion: &mut Criterion) {
-    let mut benches = criterion.benchmark_group("two rows, ranks computed anew");
+    let mut benches = criterion.benchmark_group("two rows, rankings recomputed");
     for size in CLUSTER_SIZES {
         let mut zones: BTreeMap<u64, Vec<RankedNode>> = BTreeMap::new();
         for number in 0..size {
--- a/crates/spurpier-core/src/admission.rs
+++ b/crates/spurpier-core/src/admission.rs
@@ -1,4 +1,6 @@
-//! Admission to a server: its slots, and a bounded queue that is fair between sessions.
+//! Admission control for one server: its slots, and a bounded queue that is fair between sessions.
+//!
+//! A unit is one autocommit batch or one whole transaction.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -6,27 +8,27 @@
 use crate::identity::SessionId;
 use crate::time::Timestamp;
 
-/// The weight of the newest interval in the measured time between two departures.
+/// Weight of the newest sample in the moving average of the time between two releases.
 const EWMA_WEIGHT: f64 = 0.1;
-/// The time between two departures that is assumed before any was measured.
+/// Time between two releases that is assumed before the first sample.
 const INITIAL_RELEASE_INTERVAL: Duration = Duration::from_millis(5);
-/// The shortest time after which a refused caller is asked to come back.
+/// Shortest retry delay that a refused caller is given.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(10);
 
-/// Names a unit in the queue; never reused.
+/// Identifies a unit in the queue; never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Ticket(u64);
 
-/// What becomes of a unit that arrives.
+/// The answer to a unit that asks for a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// It has a slot.
+    /// The unit has a slot.
     Admitted,
-    /// It waits; [`AdmissionControl::start_next`] names it when a slot is free.
+    /// The unit waits until [`AdmissionControl::start_next`] returns its ticket.
     Queued(Ticket),
-    /// It cannot start before its deadline, or the queue is full.
+    /// The unit cannot start before its deadline, or the queue is full.
     Refused {
-        /// When the queue is likely to have drained.
+        /// Expected time until the queue has drained.
         retry_after: Duration,
     },
 }
@@ -39,9 +41,9 @@
 
 /// The slots of one server and the units that wait for them.
 ///
-/// The queue takes one unit of each session in turn, so that a session with many units does not
-/// hold up the others. The time between departures is measured while units wait, and predicts
-/// whether a new one can start before its deadline.
+/// The queue serves the sessions round-robin, so that a session with many units does not delay
+/// the others. The time between releases is measured while units wait, and predicts whether a
+/// new unit can start before its deadline.
 #[derive(Debug)]
 pub struct AdmissionControl {
     slots: usize,
@@ -56,7 +58,7 @@
 }
 
 impl AdmissionControl {
-    /// A server that runs `slots` units at the same time, with room for `queue_limit` more.
+    /// Admits `slots` units at the same time, at least one, and queues up to `queue_limit` more.
     pub fn new(slots: usize, queue_limit: usize) -> Self {
         AdmissionControl {
             slots: slots.max(1),
@@ -71,29 +73,29 @@
         }
     }
 
-    /// Units that run now.
+    /// Number of units that run now.
     pub fn running(&self) -> usize {
         self.running
     }
 
-    /// Units that wait now.
+    /// Number of units that wait now.
     pub fn waiting(&self) -> usize {
         self.waiting
     }
 
-    /// Units that may run at the same time.
+    /// Number of units that may run at the same time.
     pub fn slots(&self) -> usize {
         self.slots
     }
 
-    /// Changes the number of slots; running units keep theirs.
+    /// Changes the number of slots, to at least one; running units keep theirs.
     pub fn set_slots(&mut self, slots: usize) {
         self.slots = slots.max(1);
     }
 
-    /// A unit arrives that must start before `deadline`.
+    /// Requests a slot for a unit that must start before `deadline`.
     ///
-    /// `connection_free` tells whether a connection could be had at once.
+    /// `connection_free` says whether the unit could get a connection at once.
     pub fn admit(
         &mut self,
         session: &SessionId,
@@ -114,7 +116,7 @@
         AdmissionDecision::Queued(self.enqueue(session, deadline))
     }
 
-    /// How long a unit that arrives now is likely to wait.
+    /// Expected queueing time of a unit that arrives now.
     pub fn expected_wait(&self) -> Duration {
         let ahead = u32::try_from(self.waiting).unwrap_or(u32::MAX);
         self.release_interval.saturating_mul(ahead)
@@ -132,8 +134,9 @@
         ticket
     }
 
-    /// The next unit to start, if a slot is free; units past their deadline are passed over and
-    /// stay with their owner, who withdraws them.
+    /// Starts the next queued unit, if a slot is free, and returns its ticket.
+    ///
+    /// Units past their deadline are dropped from the queue; their owners time out on their own.
     pub fn start_next(&mut self, now: Timestamp) -> Option<Ticket> {
         if self.running >= self.slots {
             return None;
@@ -160,7 +163,7 @@
         waiting
     }
 
-    /// A waiting unit gives up; true if it still waited.
+    /// Removes a unit from the queue; false if it is no longer queued.
     pub fn cancel(&mut self, session: &SessionId, ticket: Ticket) -> bool {
         let Some(queue) = self.sessions.get_mut(session) else {
             return false;
@@ -177,15 +180,15 @@
         true
     }
 
-    /// A unit takes its slot again between two batches of an open transaction.
+    /// Takes a slot again for the next batch of an open transaction.
     ///
-    /// It never waits, for others may wait for the locks that it holds; the slots may be
-    /// exceeded by as many transactions as have connections.
+    /// This never waits, because other units may wait for locks that the transaction holds. The
+    /// running units may therefore exceed the slots, by as many transactions as have connections.
     pub fn reacquire_slot(&mut self) {
         self.running += 1;
     }
 
-    /// A unit leaves its slot.
+    /// Releases the slot of a running unit.
     pub fn release_slot(&mut self, now: Timestamp) {
         self.running = self.running.saturating_sub(1);
         if self.waiting > 0 {
--- a/crates/spurpier-core/src/group.rs
+++ b/crates/spurpier-core/src/group.rs
@@ -1,14 +1,15 @@
-//! What is known of a database group, and what follows from it.
+//! What a node knows of a database group, and what follows from it.
 //!
-//! The group's election rule is given: a new primary's log holds whatever a majority of the
-//! servers had received, and a server that has voted in a newer term takes no more records of an
-//! older one. Three facts follow and carry the session guarantees:
+//! The group's election guarantees that a new primary's log holds every record that a majority of
+//! the servers had received, and that a server that has voted in a newer term accepts no more
+//! records of an older one. The session guarantees rest on three facts that follow:
 //!
 //! 1. A write at position `p` is confirmed once a majority report a received term equal to
 //!    `p.term` and a received offset of at least `p.offset`.
 //! 2. The read index, the greatest received position over any majority probed after a request
-//!    arrived, is at or past every confirmed write.
-//! 3. A server whose applied position is at or past a floor shows every confirmed write up to it.
+//!    arrived, is at or past every write that was confirmed before.
+//! 3. A server whose applied position is at or past some position exposes every confirmed write up
+//!    to it.
 
 use std::time::Duration;
 
@@ -16,64 +17,65 @@
 use crate::position::Position;
 use crate::time::Timestamp;
 
-/// For how long a server's status allows new work to be sent to it.
+/// Maximum age of a status for new work to be sent to its server.
 pub const STATUS_VALIDITY: Duration = Duration::from_millis(2_000);
 
-/// The role that a server reports of itself; a deposed primary may still claim to be one.
+/// The role that a server reports; a deposed primary may still report [`ServerRole::Primary`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ServerRole {
-    /// It takes writes, or believes so.
+    /// It accepts writes, or believes that it does.
     Primary,
-    /// It follows a primary.
+    /// It replicates from a primary.
     Replica,
 }
 
-/// What one server reports of itself.
+/// The status that a server reports of itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerStatus {
     /// The newest term in which it has voted.
     pub vote_term: u64,
     /// The position of the last record in its log.
     pub received: Position,
-    /// The last record before the first one of the received term (PostgreSQL's timeline history);
-    /// zero if there is none or the server does not tell.
+    /// The position of the last record before the received term (PostgreSQL's timeline history);
+    /// zero if there is none or the server does not report it.
     pub term_parent: Position,
-    /// The position up to which its tables show the log.
+    /// The position up to which the log has been applied to its tables.
     pub applied: Position,
-    /// The position of the other side's log up to which its tables show it; zero without one.
+    /// The position up to which the other side's log has been applied to its tables; zero if it
+    /// replicates from no other side.
     pub upstream_applied: Position,
-    /// Its role.
+    /// The role that it reports.
     pub role: ServerRole,
-    /// Whether it is about to stop and takes no new work.
+    /// Whether it is about to stop and accepts no new work.
     pub leaving: bool,
 }
 
-/// A server's status and the moment at which the probe for it was sent.
+/// A server's status and the time at which it was requested.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ObservedStatus {
-    /// When the probe left; the status is at least as new as this.
+    /// When the request was sent; the status is at least as new as this.
     pub requested_at: Timestamp,
-    /// What the server answered.
+    /// The status that the server returned.
     pub status: ServerStatus,
 }
 
-/// One server of a group as this node sees it.
+/// One server of a group as this node observes it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerView {
-    /// Its name.
+    /// The server's name.
     pub name: ServerName,
-    /// Its zone.
+    /// The server's zone.
     pub zone: ZoneName,
-    /// The newest status seen; none before the first answer.
+    /// The newest status; none before the first answer.
     pub observed: Option<ObservedStatus>,
-    /// Whether the last probe got an answer.
+    /// Whether the last probe was answered.
     pub reachable: bool,
-    /// Whether another source (the platform's list, a peer) says that it is leaving.
+    /// Whether another source (the platform's list, a peer) reports that it is leaving.
     pub leaving_hint: bool,
 }
 
 impl ServerView {
-    /// Whether any source says that the server is leaving.
+    /// Whether any source reports that the server is leaving.
     pub fn is_leaving(&self) -> bool {
         let reported = self
             .observed
@@ -84,8 +86,8 @@
 
     /// Whether new work may be sent to the server at `now`.
     ///
-    /// A status older than [`STATUS_VALIDITY`] allows nothing: a node that was paused must look
-    /// again before it sends work to a server that may have begun to leave meanwhile.
+    /// A status older than [`STATUS_VALIDITY`] does not count: a node that was paused must probe
+    /// again before it sends work to a server that may have started to leave in the meantime.
     pub fn accepts_work(&self, now: Timestamp) -> bool {
         let current = self
             .observed
@@ -95,7 +97,7 @@
     }
 }
 
-/// A group as this node sees it: an immutable snapshot.
+/// An immutable snapshot of a group as this node observes it.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct GroupView {
     /// All servers of the group, in the order of the settings.
@@ -103,12 +105,12 @@
 }
 
 impl GroupView {
-    /// How many servers make a majority.
+    /// Number of servers that form a majority.
     pub fn majority(&self) -> usize {
         self.servers.len() / 2 + 1
     }
 
-    /// The statuses whose probes left at or after `since`.
+    /// The statuses that were requested at or after `since`.
     fn statuses_requested_since(&self, since: Timestamp) -> impl Iterator<Item = &ServerStatus> {
         self.servers
             .iter()
@@ -117,7 +119,7 @@
             .map(|observed| &observed.status)
     }
 
-    /// Whether a write at `position` is confirmed: no later primary can lack it (fact 1).
+    /// Whether a write at `position` is confirmed, so that no later primary can lack it (fact 1).
     pub fn is_confirmed(&self, position: Position) -> bool {
         let holders = self
             .statuses_requested_since(Timestamp::ZERO)
@@ -127,11 +129,11 @@
         holders >= self.majority() || self.is_confirmed_by_newer_term(position)
     }
 
-    /// Whether a confirmed newer term began behind `position`.
+    /// Whether a confirmed newer term started after `position`.
     ///
-    /// A planned hand-over may follow a commit so soon that no majority is ever seen in the old
-    /// term. A record of the newer term that a majority holds confirms all before it, and its
-    /// parent tells up to where that is the old term's log.
+    /// A planned transfer of the primary role may follow a commit so soon that no majority is ever
+    /// observed in the old term. A record of the newer term that a majority holds confirms every
+    /// record before it; `term_parent` is the position up to which those are the old term's.
     fn is_confirmed_by_newer_term(&self, position: Position) -> bool {
         self.statuses_requested_since(Timestamp::ZERO)
             .filter(|status| status.received.term > position.term)
@@ -140,19 +142,19 @@
             .any(|status| self.servers_in_term(status.received.term) >= self.majority())
     }
 
-    /// How many servers' logs end in this term; a majority of them has confirmed its start.
+    /// Number of servers whose logs end in `term`; a majority of them confirms the term's start.
     fn servers_in_term(&self, term: u64) -> usize {
         self.statuses_requested_since(Timestamp::ZERO)
             .filter(|status| status.received.term == term)
             .count()
     }
 
-    /// Whether everything that a server with this status shows is confirmed.
+    /// Whether everything that a server with this status exposes is confirmed.
     ///
-    /// A server shows its log up to the applied position. If its log has records of a newer term
-    /// than the applied position, that position lies before the newer term's start, and one
-    /// confirmed record of the newer term confirms all before it. A server that fails this may
-    /// show writes that will be lost with a replaced primary.
+    /// A server exposes its log up to the applied position. If its log has records of a newer
+    /// term than the applied position, that position precedes the newer term's start, and one
+    /// confirmed record of the newer term confirms every record before it. A server that fails
+    /// this check may expose writes that are lost when their primary is replaced.
     pub fn applied_is_confirmed(&self, status: &ServerStatus) -> bool {
         let mut held: Vec<u64> = self
             .statuses_requested_since(Timestamp::ZERO)
@@ -169,7 +171,7 @@
 
     /// The read index for requests that arrived at or before `since` (fact 2).
     ///
-    /// None until a majority has answered probes sent at or after `since`.
+    /// None until a majority has answered requests sent at or after `since`.
     pub fn read_index(&self, since: Timestamp) -> Option<Position> {
         let received: Vec<Position> = self
             .statuses_requested_since(since)
@@ -181,7 +183,7 @@
         received.into_iter().max()
     }
 
-    /// The newest term that any server has voted in or holds a record of.
+    /// The newest term in which any server has voted or of which it holds a record.
     pub fn newest_term(&self) -> u64 {
         self.statuses_requested_since(Timestamp::ZERO)
             .map(|status| status.vote_term.max(status.received.term))
@@ -189,9 +191,9 @@
             .unwrap_or(0)
     }
 
-    /// The index of the server that takes writes: the reachable primary of the newest term.
+    /// The index of the server that accepts writes: the reachable primary of the newest term.
     ///
-    /// None while the group elects one, or while a newer term is known than any primary's.
+    /// None during an election, or while a term is known that is newer than any primary's.
     pub fn primary(&self) -> Option<usize> {
         let newest = self.newest_term();
         self.servers.iter().position(|server| {
--- a/crates/spurpier-core/src/group_history.rs
+++ b/crates/spurpier-core/src/group_history.rs
@@ -1,4 +1,4 @@
-//! What a watcher remembers of a group: past read indexes and the start of each term.
+//! The observed history of a group: past read indexes and the start of each term.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,19 +8,19 @@
 use crate::position::Position;
 use crate::time::Timestamp;
 
-/// How many past read indexes are kept.
+/// Maximum number of past read indexes that are kept.
 const MAX_READ_INDEXES: usize = 256;
 
-/// A read index and the moment for which it holds.
+/// A read index and the time for which it holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PastReadIndex {
-    /// Every write confirmed before this moment is at or before `position`.
+    /// Every write that was confirmed before this time is at or before `position`.
     pub as_of: Timestamp,
     /// The read index.
     pub position: Position,
 }
 
-/// Past read indexes in the order of time, and the start of each term.
+/// Past read indexes, oldest first, and the start of each term.
 #[derive(Debug, Clone, Default)]
 pub struct GroupHistory {
     indexes: VecDeque<PastReadIndex>,
@@ -29,7 +29,7 @@
 }
 
 impl GroupHistory {
-    /// Takes in a new view.
+    /// Records a new view.
     pub fn observe(&mut self, view: &GroupView) {
         self.term_starts.observe(view);
         self.confirmed = self.confirmed.max(highest_confirmed(view));
@@ -46,32 +46,33 @@
         }
     }
 
-    /// Whether a position of a log is known to be confirmed, by this view or an earlier one.
+    /// Whether a log position is known to be confirmed, by the latest view or an earlier one.
     ///
-    /// What has been confirmed once stays so, whatever the servers report afterwards.
+    /// A confirmed position stays confirmed, whatever the servers report afterwards.
     pub fn is_confirmed(&self, position: Position) -> bool {
         position.term == self.confirmed.term && position.offset <= self.confirmed.offset
     }
 
-    /// The start of each term as far as seen.
+    /// The start of each term, as far as observed.
     pub fn term_starts(&self) -> &TermStarts {
         &self.term_starts
     }
 
-    /// A position at or past every write confirmed before `moment`; none if too little is known.
+    /// A position at or past every write confirmed before `moment`; none if no read index covers
+    /// that time.
     pub fn read_index_at(&self, moment: Timestamp) -> Option<Position> {
         let found = self.indexes.partition_point(|past| past.as_of < moment);
         self.indexes.get(found).map(|past| past.position)
     }
 
-    /// How long ago the group first held more than `applied`; zero when it holds no more.
+    /// Time since the group was first known to hold records past `applied`; zero if it holds none.
     pub fn lag(&self, applied: Position, now: Timestamp) -> Duration {
         let newer = self.indexes.iter().find(|past| past.position > applied);
         newer.map_or(Duration::ZERO, |past| now.since(past.as_of))
     }
 }
 
-/// The greatest position that the view shows to be confirmed.
+/// The highest received position that the view proves to be confirmed.
 fn highest_confirmed(view: &GroupView) -> Position {
     let observed = view
         .servers
@@ -84,7 +85,7 @@
         .unwrap_or(Position::ZERO)
 }
 
-/// The read index for the latest moment that a majority's answers cover.
+/// The read index for the latest time that a majority's answers cover.
 fn latest_read_index(view: &GroupView) -> Option<PastReadIndex> {
     let mut requested: Vec<Timestamp> = view
         .servers
--- a/crates/spurpier-core/src/handover.rs
+++ b/crates/spurpier-core/src/handover.rs
@@ -1,9 +1,9 @@
-//! The move of a database's writes from one side to the other.
+//! The handover of a database's writes from one side of a migration to the other.
 //!
-//! The steps are: raise the fence of the side that is left, which waits for its running writes
-//! and keeps out later ones; confirm that position; wait until the other side shows it; open the
-//! other side's fence. The state lives in the two groups and each step may be repeated, so any
-//! node can take the move up at any point, also several at once.
+//! The steps are: raise the fence of the source side, which waits for running writes and rejects
+//! later ones; wait until that position is confirmed; wait until the target side has applied it;
+//! open the target side's fence. The state is stored in the two groups and every step is
+//! idempotent, so any node can resume a handover at any point, and several may do so at once.
 
 use crate::group::{GroupView, ServerRole};
 use crate::position::Position;
@@ -11,71 +11,71 @@
 /// What the caller must do next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HandoverAction {
-    /// Read the fence on the primary of the side that is entered.
+    /// Read the fence on the target side's primary.
     ReadFence,
-    /// Raise the fence on the primary of the side that is left, to this epoch.
+    /// Raise the fence on the source side's primary to this epoch.
     RaiseFence(u64),
-    /// Open the fence on the primary of the side that is entered, at this epoch.
+    /// Open the fence on the target side's primary at this epoch.
     OpenFence(u64),
-    /// Probe the group of the side that is left, and report its view.
+    /// Probe the source side's group and report its view.
     ProbeSource,
-    /// Probe the group of the side that is entered, and report its view.
+    /// Probe the target side's group and report its view.
     ProbeTarget,
-    /// Nothing: the move is done.
+    /// Nothing: the handover is complete.
     Done,
-    /// Nothing: the databases know a newer epoch, so this move has been overtaken.
+    /// Nothing: the databases have a newer epoch, so a later handover supersedes this one.
     Overtaken,
 }
 
-/// What came of an action.
+/// The result of an action.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HandoverEvent<'a> {
-    /// The fence of the side that is entered.
+    /// The fence on the target side was read.
     FenceRead {
-        /// Its epoch.
+        /// The fence's epoch.
         epoch: u64,
-        /// Whether it is open.
+        /// Whether the fence is open.
         open: bool,
-        /// The server's received position, asked behind it in the same term.
+        /// The server's received position, read after the fence and in the same term.
         position: Position,
     },
     /// The fence was raised by a transaction at this position.
     FenceRaised(Position),
     /// The fence was opened by a transaction at this position.
     FenceOpened(Position),
-    /// The fence stands at a newer epoch.
+    /// The fence has a newer epoch.
     FenceConflict,
-    /// A view of the group of the side that is left.
+    /// A view of the source side's group.
     SourceView(&'a GroupView),
-    /// A view of the group of the side that is entered.
+    /// A view of the target side's group.
     TargetView(&'a GroupView),
 }
 
-/// How far a move has come; ordered.
+/// The progress of a handover, ordered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum HandoverStep {
-    /// It is not known whether the move has been made before.
+    /// It is not known whether the handover has been made before.
     Checking,
-    /// The entered side's fence is open already, which is being confirmed.
+    /// The target side's fence is already open; this position must be confirmed.
     ConfirmingCheck(Position),
-    /// The fence of the side that is left is to be raised.
+    /// The source side's fence must be raised.
     Raising,
-    /// The raised fence is being confirmed.
+    /// The fence was raised at this position, which must be confirmed.
     ConfirmingRaise(Position),
-    /// The side that is entered must show this position of the side that is left.
+    /// The target side must apply the source side's log up to this position.
     CatchingUp(Position),
-    /// The fence of the side that is entered is to be opened.
+    /// The target side's fence must be opened.
     Opening,
-    /// The opened fence is being confirmed.
+    /// The fence was opened at this position, which must be confirmed.
     ConfirmingOpen(Position),
-    /// The move is done.
+    /// The handover is complete.
     Done,
-    /// A newer move has overtaken this one.
+    /// A later handover supersedes this one.
     Overtaken,
 }
 
 impl HandoverStep {
-    /// The step's name for operators.
+    /// The step's name as shown to operators.
     pub const fn name(self) -> &'static str {
         match self {
             HandoverStep::Checking | HandoverStep::ConfirmingCheck(_) => "checking",
@@ -88,7 +88,7 @@
     }
 }
 
-/// The move of one database to the side of one epoch.
+/// The handover of one database to the side that one policy epoch assigns.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Handover {
     epoch: u64,
@@ -96,7 +96,7 @@
 }
 
 impl Handover {
-    /// A move whose state in the databases is not known yet.
+    /// A handover whose state in the databases is not known yet.
     pub fn new(epoch: u64) -> Self {
         Handover {
             epoch,
@@ -104,17 +104,17 @@
         }
     }
 
-    /// The policy epoch that asks for the move.
+    /// The policy epoch that requires the handover.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// How far the move has come.
+    /// The current step.
     pub fn step(&self) -> HandoverStep {
         self.step
     }
 
-    /// What to do next; the same until an event changes it, so a failed action is done again.
+    /// The next action; unchanged until an event advances the step, so failed actions are retried.
     pub fn action(&self) -> HandoverAction {
         match self.step {
             HandoverStep::Checking => HandoverAction::ReadFence,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Takes in what came of an action, and says what to do next.
+    /// Handles the result of an action and returns the next one.
     pub fn handle_event(&mut self, event: &HandoverEvent<'_>) -> HandoverAction {
         self.step = self.next_step(event);
         self.action()
@@ -177,7 +177,7 @@
         if view.is_confirmed(position) {
             return HandoverStep::CatchingUp(position);
         }
-        // A newer term may lack the raised fence: raising it again is harmless and sure.
+        // A newer term may lack the raised fence. Raising it again is idempotent.
         if has_newer_primary(view, position) {
             return HandoverStep::Raising;
         }
@@ -206,13 +206,13 @@
     }
 }
 
-/// Whether a primary of a newer term than the position's has been found.
+/// Whether the group has a primary in a newer term than the position's.
 fn has_newer_primary(view: &GroupView, position: Position) -> bool {
     view.primary().is_some() && view.newest_term() > position.term
 }
 
-/// Whether the group's primary shows the other side's log up to `upstream`, by a record that no
-/// later primary can lack.
+/// Whether the group's primary has applied the other side's log up to `upstream`, in a record that
+/// no later primary can lack.
 fn has_caught_up(view: &GroupView, upstream: Position) -> bool {
     let primary = view
         .primary()
--- a/crates/spurpier-core/src/homes.rs
+++ b/crates/spurpier-core/src/homes.rs
@@ -1,7 +1,8 @@
-//! Which nodes are the homes of a database: rendezvous ranks by zone.
+//! The home nodes of each database, chosen by rendezvous hashing in each zone.
 //!
-//! Every node computes the same ranks from the same members. A node that joins or goes changes
-//! only the ranks in which it stands, and only those are computed anew.
+//! A home is a node that holds connections to the database's servers. Every node computes the same
+//! homes from the same members. A node that joins or leaves changes only the rankings in which it
+//! appears, and only those are recomputed.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -14,21 +15,22 @@
 use crate::membership::{MemberChange, MemberIdentity, NodeKey};
 use crate::ranks::{RankChange, RankTable, Rankable};
 
-/// The rendezvous score of a node for a database or another thing that nodes are ranked for.
+/// The rendezvous score of a node for a subject: a database, or anything else that nodes are
+/// ranked for.
 pub fn rendezvous_score(subject_digest: u64, node: NodeKey) -> u64 {
     xxh3_64_with_seed(&node.0.to_le_bytes(), subject_digest)
 }
 
-/// The digest of a subject's name, as [`rendezvous_score`] needs it.
+/// The hash of a subject's name, for [`rendezvous_score`].
 pub fn subject_digest(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
-/// How often a node repeats messages of one kind so that they stay within a budget.
+/// The interval at which a node repeats messages of one kind within a bandwidth budget.
 ///
-/// `messages` are sent each time, of `message_bytes` each on the wire; together they may take
-/// `bytes_per_second`. The interval is at least `minimum`, and as much longer as the budget needs: a
-/// node that is first home of many databases probes each of them less often.
+/// Each round sends `messages` of `message_bytes` each on the wire, and all rounds together may use
+/// `bytes_per_second`. The interval is at least `minimum`, and longer where the budget requires it:
+/// a node that is the first home of many databases probes each of them less often.
 pub fn budgeted_interval(
     minimum: Duration,
     messages: usize,
@@ -40,26 +42,26 @@
     minimum.max(needed)
 }
 
-/// The homes of a database in one zone, best rank first.
+/// The homes of a database in one zone, highest score first.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ZoneHomes {
     /// The zone.
     pub zone: ZoneName,
-    /// The homes.
+    /// The home nodes.
     pub nodes: Vec<NodeKey>,
 }
 
 /// The homes of a database in all zones.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RankedHomes {
-    /// One entry for each zone that has nodes, in the order of the zones' names.
+    /// One entry for each zone that has nodes, ordered by zone name.
     pub zones: Vec<ZoneHomes>,
-    /// The home with the best rank of all.
+    /// The home with the highest score of all zones.
     pub first: Option<NodeKey>,
 }
 
 impl RankedHomes {
-    /// The homes in one zone.
+    /// The homes in one zone; empty if the zone has no nodes.
     pub fn in_zone(&self, zone: &ZoneName) -> &[NodeKey] {
         let found = self.zones.iter().find(|homes| homes.zone == *zone);
         found.map_or(&[], |homes| &homes.nodes)
@@ -94,7 +96,9 @@
 }
 
 impl HomeTable {
-    /// A table of these databases without nodes. With `per_zone` 0 every node is a home.
+    /// Creates a table of these databases, without nodes.
+    ///
+    /// Each database has up to `per_zone` homes in each zone; 0 makes every node a home.
     pub fn new(databases: impl IntoIterator<Item = DatabaseName>, per_zone: usize) -> Self {
         let names: Vec<DatabaseName> = databases.into_iter().collect();
         let digests: Vec<u64> = names
@@ -119,10 +123,10 @@
         }
     }
 
-    /// Follows a change of the membership; gives the databases whose homes have changed.
+    /// Applies a membership change and returns the databases whose homes have changed.
     ///
-    /// A node that is leaving is no home any more; a suspected one stays, so that a wrong
-    /// suspicion moves nothing.
+    /// A node that is leaving is no longer a home. A suspected one still is, so that a false
+    /// suspicion moves no database.
     pub fn apply(&mut self, change: &MemberChange) -> Vec<DatabaseName> {
         match change {
             MemberChange::Joined(identity) => self.add(identity),
@@ -134,13 +138,13 @@
         }
     }
 
-    /// Adds a node; gives the databases of which it has become a home.
+    /// Adds a node and returns the databases of which it has become a home.
     pub fn add(&mut self, identity: &Arc<MemberIdentity>) -> Vec<DatabaseName> {
         let changes = self.ranks.add(&identity.zone, identity.key());
         self.changed_databases(&changes)
     }
 
-    /// Takes a node out; gives the databases of which it was a home.
+    /// Removes a node and returns the databases of which it was a home.
     pub fn remove(&mut self, key: NodeKey) -> Vec<DatabaseName> {
         let changes = self.ranks.remove(key);
         self.changed_databases(&changes)
@@ -151,7 +155,7 @@
         names.cloned().collect()
     }
 
-    /// The homes of a database; none when the database is unknown.
+    /// The homes of a database; none if the database is unknown.
     pub fn homes_of(&self, database: &DatabaseName) -> Option<RankedHomes> {
         let index = *self.by_name.get(database)? as usize;
         let digest = self.digests[index];
@@ -184,15 +188,15 @@
         self.ranks.is_ranked(*index as usize, node)
     }
 
-    /// Whether the node is the first-ranked home of the database.
+    /// Whether the node is the home with the highest score of all zones.
     pub fn is_first_home(&self, database: &DatabaseName, node: NodeKey) -> bool {
         self.homes_of(database)
             .is_some_and(|homes| homes.first == Some(node))
     }
 
-    /// The bytes that the table holds, names counted once.
+    /// Estimated memory use of the table in bytes, with each shared name counted once.
     pub fn memory_bytes(&self) -> usize {
-        /// A shared text has two counts in front of it.
+        /// An `Arc<str>` stores a strong and a weak count in front of its text.
         const REFERENCE_COUNT_BYTES: usize = 2 * size_of::<usize>();
         let names: usize = self
             .names
--- a/crates/spurpier-core/src/lib.rs
+++ b/crates/spurpier-core/src/lib.rs
@@ -1,8 +1,8 @@
-//! Every decision of the spurpier proxy, free of input and output.
+//! The decision logic of the spurpier proxy, without I/O.
 //!
-//! Nothing here opens a socket, reads a clock or starts a task: callers pass in the state, an
-//! event and the present time, and carry out what is returned. The same code therefore runs in a
-//! real node, in the deterministic proofs and in thousands of hollow nodes within one process.
+//! Nothing here opens a socket, reads a clock or spawns a task: callers pass in the state, an
+//! event and the current time, and carry out the returned actions. The same code therefore runs
+//! in a real node, in deterministic tests and in thousands of simulated nodes within one process.
 
 pub mod admission;
 pub mod commit;
--- a/crates/spurpier-core/src/pool.rs
+++ b/crates/spurpier-core/src/pool.rs
@@ -1,27 +1,27 @@
-//! The connections of this node to one server, counted.
+//! Counts of this node's connections to one server.
 //!
-//! Connections are scarce: at most `limit` are open or being opened at any time. Those that are
-//! idle serve the next unit; some are opened ahead, since opening one is slow.
+//! Connections are scarce: at most `limit` are open or being opened at any time. Idle ones are
+//! reused for the next unit. Some are opened before they are needed, because opening is slow.
 
 use std::time::Duration;
 
 use crate::time::Timestamp;
 
-/// The time that passes after a refused connection before another is opened.
+/// Time between a failed attempt to open a connection and the next attempt.
 const OPEN_FAILURE_BACKOFF: Duration = Duration::from_millis(100);
 
 /// How a unit gets its connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AcquireDecision {
-    /// An idle connection is taken.
+    /// It reuses an idle connection.
     ReuseIdle,
-    /// A new one must be opened; it is counted from now on.
+    /// The caller must open a new connection, which is already counted.
     Open,
-    /// All are in use: the unit must wait for one.
+    /// It must wait: all connections are in use and no other may be opened now.
     Exhausted,
 }
 
-/// The connections to one server, as numbers.
+/// The number of connections to one server in each state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PoolState {
     limit: usize,
@@ -32,7 +32,7 @@
 }
 
 impl PoolState {
-    /// An empty pool with room for `limit` connections.
+    /// Creates an empty pool of at most `limit` connections.
     pub fn new(limit: usize) -> Self {
         PoolState {
             limit,
@@ -43,27 +43,27 @@
         }
     }
 
-    /// Connections that may be open at the same time.
+    /// Maximum number of connections that are open or being opened.
     pub fn limit(&self) -> usize {
         self.limit
     }
 
-    /// Changes the limit; connections beyond it are closed as they come back.
+    /// Changes the limit; connections above it are closed when they are released.
     pub fn set_limit(&mut self, limit: usize) {
         self.limit = limit;
     }
 
-    /// Connections that wait for work.
+    /// Number of open connections that serve no unit.
     pub fn idle(&self) -> usize {
         self.idle
     }
 
-    /// Connections that serve a unit.
+    /// Number of connections that serve a unit.
     pub fn in_use(&self) -> usize {
         self.in_use
     }
 
-    /// Connections that are open or being opened.
+    /// Number of connections that are open or being opened.
     pub fn total(&self) -> usize {
         self.idle + self.in_use + self.opening
     }
@@ -77,7 +77,7 @@
         self.total() < self.limit && now >= self.backoff_until
     }
 
-    /// A unit wants a connection.
+    /// Acquires a connection for a unit.
     pub fn acquire(&mut self, now: Timestamp) -> AcquireDecision {
         if self.idle > 0 {
             self.idle -= 1;
@@ -91,7 +91,9 @@
         AcquireDecision::Exhausted
     }
 
-    /// How many connections to open ahead so that `wanted` are open or being opened.
+    /// Number of connections that the caller must open so that `wanted` are open or being opened.
+    ///
+    /// They are counted as being opened from now on.
     pub fn preopen(&mut self, wanted: usize, now: Timestamp) -> usize {
         if now < self.backoff_until {
             return 0;
@@ -101,25 +103,26 @@
         missing
     }
 
-    /// An opened connection starts to serve a unit.
+    /// Records that a connection was opened and serves a unit.
     pub fn opened_in_use(&mut self) {
         self.opening -= 1;
         self.in_use += 1;
     }
 
-    /// An opened connection waits for work.
+    /// Records that a connection was opened and is idle.
     pub fn opened_idle(&mut self) {
         self.opening -= 1;
         self.idle += 1;
     }
 
-    /// A connection could not be opened; no other is opened for a moment.
+    /// Records that a connection could not be opened, and starts the backoff.
     pub fn open_failed(&mut self, now: Timestamp) {
         self.opening -= 1;
         self.backoff_until = now + OPEN_FAILURE_BACKOFF;
     }
 
-    /// A clean connection comes back; false tells to close it, for the limit has fallen.
+    /// Returns a clean connection to the pool; false if the caller must close it because the limit
+    /// was lowered.
     pub fn release(&mut self) -> bool {
         self.in_use -= 1;
         let keep = self.total() < self.limit;
@@ -127,12 +130,12 @@
         keep
     }
 
-    /// A leased connection was closed.
+    /// Records that a connection in use was closed.
     pub fn closed_in_use(&mut self) {
         self.in_use -= 1;
     }
 
-    /// `count` idle connections were closed.
+    /// Records that `count` idle connections were closed.
     pub fn closed_idle(&mut self, count: usize) {
         self.idle -= count;
     }
--- a/crates/spurpier-core/src/position.rs
+++ b/crates/spurpier-core/src/position.rs
@@ -6,9 +6,9 @@
 use nanoserde::{DeBin, SerBin};
 use serde::{Deserialize, Serialize};
 
-/// A position in a group's log: the term of the record, then its offset.
+/// A position in a group's log: the term of a record, then its offset.
 ///
-/// Positions order lexicographically. In PostgreSQL's words the term is the timeline and the
+/// Positions are ordered lexicographically. In PostgreSQL's terms, the term is the timeline and the
 /// offset the log sequence number. The text form is `term/offset`, as in `3/1042`.
 #[derive(
     Debug,
@@ -48,10 +48,10 @@
     }
 }
 
-/// A text that is no position.
+/// The error for a text that is not a position.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InvalidPosition {
-    /// The text that was given.
+    /// The rejected text.
     pub text: String,
 }
 
--- a/crates/spurpier-core/src/ranks.rs
+++ b/crates/spurpier-core/src/ranks.rs
@@ -1,57 +1,57 @@
-//! Ranks of nodes by zone, for many subjects, moved by one node at a time.
+//! Rankings of the nodes in each zone for many subjects, updated one node at a time.
 //!
-//! All nodes that know the same nodes rank them alike. A node that comes or goes is compared with
-//! the last place held of each subject in its zone, and changes only the ranks in which it stands:
-//! its cost does not grow with the fleet.
+//! All nodes that know the same nodes rank them identically. A node that is added is compared with
+//! the lowest-ranked node of each subject in its zone, and a node that is removed changes only the
+//! rankings in which it appears, so the average cost of a change does not grow with the cluster.
 
 use std::collections::HashMap;
 
 use crate::membership::NodeKey;
 
-/// An empty place.
+/// The slot number of an empty position.
 const EMPTY: u32 = u32::MAX;
 
 /// A node that can be ranked.
 pub trait Rankable: Copy {
-    /// What nodes are compared by; the greater one ranks first. No two nodes have the same.
+    /// The value by which nodes are compared. The greatest ranks first; no two nodes have the same.
     type Score: Ord;
 
-    /// What the node is known by.
+    /// The key that identifies the node.
     fn key(&self) -> NodeKey;
 
-    /// Its score for a subject of this digest.
+    /// The node's score for the subject with this digest.
     fn score(&self, subject_digest: u64) -> Self::Score;
 }
 
-/// A rank that has changed.
+/// A change of one subject's ranking in one zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RankChange {
-    /// The subject, as numbered by [`RankTable::add_subject`].
+    /// The subject's index, as returned by [`RankTable::add_subject`].
     pub subject: usize,
-    /// The first place that changed in the zone's rank, from 0.
+    /// The first position that changed in the zone's ranking, counted from 0.
     pub position: usize,
 }
 
-/// A node and where it stands.
+/// A node and its location in the table.
 #[derive(Debug, Clone, Copy)]
 struct NodeEntry<N> {
     node: N,
     zone: u32,
-    /// Its index among the zone's nodes.
+    /// The index in the zone's `nodes`.
     index: u32,
 }
 
-/// The nodes of one zone and the ranks that they hold there.
+/// The nodes of one zone and their rankings.
 #[derive(Debug, Clone)]
 struct ZoneRanks<Z> {
     zone: Z,
     /// Slots of the zone's nodes.
     nodes: Vec<u32>,
-    /// For each subject `ranks_per_zone` slots, best first, filled up with [`EMPTY`].
+    /// For each subject `ranks_per_zone` slots, best first, padded with [`EMPTY`].
     ranked: Vec<u32>,
 }
 
-/// The first ranks of each zone, for many subjects.
+/// The highest-ranked nodes of each zone, for many subjects.
 #[derive(Debug, Clone)]
 pub struct RankTable<N, Z> {
     ranks_per_zone: usize,
@@ -63,7 +63,7 @@
 }
 
 impl<N: Rankable, Z: Clone + Eq> RankTable<N, Z> {
-    /// A table without nodes and subjects that holds so many places of each zone.
+    /// Creates a table without nodes and subjects that ranks `ranks_per_zone` nodes of each zone.
     pub fn new(ranks_per_zone: usize) -> Self {
         RankTable {
             ranks_per_zone,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Ranks the nodes for one more subject; gives its number, counted from 0.
+    /// Ranks the nodes for another subject and returns its index, counted from 0.
     pub fn add_subject(&mut self, digest: u64) -> usize {
         let subject = self.subjects.len();
         self.subjects.push(digest);
@@ -89,7 +89,7 @@
         subject
     }
 
-    /// Adds a node, unless one of its key is known; gives the ranks into which it has come.
+    /// Adds a node, unless its key is known, and returns the rankings that it has entered.
     pub fn add(&mut self, zone: &Z, node: N) -> Vec<RankChange> {
         if self.slot_by_key.contains_key(&node.key()) {
             return Vec::new();
@@ -99,7 +99,7 @@
         self.update_subjects(|table, subject| table.insert_ranked(zone, subject, slot))
     }
 
-    /// Takes a node out; gives the ranks that it has left.
+    /// Removes a node and returns the rankings that contained it.
     pub fn remove(&mut self, key: NodeKey) -> Vec<RankChange> {
         let Some(slot) = self.slot_by_key.remove(&key) else {
             return Vec::new();
@@ -127,18 +127,19 @@
         self.slot_by_key.contains_key(&key)
     }
 
-    /// How many nodes there are.
+    /// Number of nodes in the table.
     pub fn node_count(&self) -> usize {
         self.slot_by_key.len()
     }
 
-    /// How many zones have nodes.
+    /// Number of zones that have nodes.
     pub fn zone_count(&self) -> usize {
         let zones = self.zones.iter();
         zones.filter(|zone| !zone.nodes.is_empty()).count()
     }
 
-    /// The zones that have nodes, in no order, each with the places held of a subject, best first.
+    /// The zones that have nodes, in no particular order, each with the nodes ranked for a subject,
+    /// best first.
     pub fn ranked_nodes(&self, subject: usize) -> impl Iterator<Item = (&Z, Vec<N>)> {
         let zones = self.zones.iter().filter(|zone| !zone.nodes.is_empty());
         zones.map(move |zone| {
@@ -149,7 +150,7 @@
         })
     }
 
-    /// The zones that have nodes, in no order, each with all of them, in no order.
+    /// The zones that have nodes, each with all its nodes; both in no particular order.
     pub fn nodes_by_zone(&self) -> impl Iterator<Item = (&Z, impl Iterator<Item = N>)> {
         let zones = self.zones.iter().filter(|zone| !zone.nodes.is_empty());
         zones.map(|zone| {
@@ -161,7 +162,7 @@
         })
     }
 
-    /// Whether a node holds one of the places of a subject.
+    /// Whether a node is among those ranked for a subject.
     pub fn is_ranked(&self, subject: usize, key: NodeKey) -> bool {
         let Some(slot) = self.slot_by_key.get(&key) else {
             return false;
@@ -170,7 +171,7 @@
         self.row(&self.zones[zone], subject).contains(slot)
     }
 
-    /// The bytes that the table holds.
+    /// Estimated memory use of the table in bytes.
     pub fn memory_bytes(&self) -> usize {
         let slot_by_key = self.slot_by_key.capacity() * (size_of::<(NodeKey, u32)>() + 1) * 8 / 7;
         let zones = self.zones.iter();
@@ -236,13 +237,14 @@
         &mut self.zones[zone].ranked[start..start + self.ranks_per_zone]
     }
 
-    /// The score by which places are compared; an empty place is below every node.
+    /// The score of the node in a slot; none for [`EMPTY`], which ranks below every node.
     fn score(&self, subject: usize, slot: u32) -> Option<N::Score> {
         let entry = self.slots.get(slot as usize)?;
         Some(entry.node.score(self.subjects[subject]))
     }
 
-    /// Puts a new node into a subject's rank if it belongs there; gives its place.
+    /// Inserts a new node into a subject's ranking and returns its position; none if the node ranks
+    /// too low.
     fn insert_ranked(&mut self, zone: usize, subject: usize, slot: u32) -> Option<usize> {
         let score = self.score(subject, slot);
         let row = self.row(&self.zones[zone], subject);
@@ -256,8 +258,8 @@
         Some(position)
     }
 
-    /// Takes a node out of a subject's rank and fills the last place with the next best; gives the
-    /// place that it held.
+    /// Removes a node from a subject's ranking, appends the next best one, and returns the position
+    /// of the removed node; none if it was not ranked.
     fn remove_ranked(&mut self, zone: usize, subject: usize, slot: u32) -> Option<usize> {
         let row = self.row(&self.zones[zone], subject);
         let position = row.iter().position(|other| *other == slot)?;
--- a/crates/spurpier-core/src/reason.rs
+++ b/crates/spurpier-core/src/reason.rs
@@ -1,19 +1,19 @@
-//! The numbered reasons with which spurpier itself refuses or fails a request.
+//! The numbered reasons for which spurpier itself refuses or fails a request.
 //!
-//! This is the catalogue that `docs/EVENTS.md` prints; a test holds the two together.
+//! A test compares this catalogue with the table in `docs/EVENTS.md`.
 
 use nanoserde::{DeBin, SerBin};
 
 use crate::wire::{decode_text, encode_text};
 
-/// What is known of a request that spurpier answers with an error of its own.
+/// The known outcome of a request that spurpier answers with an error of its own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum OutcomeClass {
-    /// It ran and is confirmed; only its answer is missing.
+    /// The request ran and is confirmed; only its answer is missing.
     Done,
-    /// It had no effect and never will have.
+    /// The request had no effect and never will have.
     NotRun,
-    /// Whether it ran cannot be told.
+    /// It is not known whether the request ran.
     Unknown,
 }
 
@@ -29,7 +29,7 @@
             /// All reasons, in the order of their codes.
             pub const ALL: &'static [Reason] = &[$(Reason::$variant),+];
 
-            /// The code printed in the error's DETAIL and in the catalogue, such as `SP1001`.
+            /// The code in the error's DETAIL and in the catalogue, such as `SP1001`.
             pub const fn code(self) -> &'static str {
                 match self { $(Reason::$variant => $code,)+ }
             }
@@ -39,7 +39,7 @@
                 match self { $(Reason::$variant => $sqlstate,)+ }
             }
 
-            /// What the caller may conclude of its request.
+            /// The outcome that the caller may conclude from the error.
             pub const fn class(self) -> OutcomeClass {
                 match self { $(Reason::$variant => OutcomeClass::$class,)+ }
             }
@@ -53,55 +53,55 @@
 }
 
 reasons! {
-    /// The queue of the database is full or the wait would pass the request's patience.
+    /// The database's queue is full, or the wait would exceed the request's timeout.
     Overloaded = "SP1001", "53300", NotRun, "the database has no free slot in time";
-    /// The group has no primary and the patience for one ran out.
+    /// The group had no primary until the request timed out.
     NoPrimary = "SP1002", "57P03", NotRun, "the database group has no primary now";
-    /// No server is at or past the session's floor and the patience ran out.
+    /// No server reached the lowest position that the session may read before the timeout.
     NoServerCaughtUp = "SP1003", "57P03", NotRun, "no server shows the session's writes yet";
-    /// Too few servers answer to learn what is confirmed.
+    /// Too few servers answer to determine what is confirmed.
     NoMajority = "SP1004", "57P03", NotRun, "a majority of the database group cannot be reached";
     /// The policy refuses the request.
     RefusedByPolicy = "SP1005", "42501", NotRun, "the policy in force refuses the request";
-    /// The node does not know a policy yet.
+    /// The node has not received a policy yet.
     NoPolicy = "SP1006", "57P03", NotRun, "this node does not know the policy in force yet";
-    /// The fence of the group rejected the epoch: the database has moved, or is moving.
+    /// The group's fence rejected the epoch: the database has moved or is moving to its other side.
     Fenced = "SP1007", "57P03", NotRun, "the database is moving to its other side";
     /// The node or the database is stopping.
     Draining = "SP1008", "57P01", NotRun, "this node is stopping";
-    /// The database is not in the settings.
+    /// The database is not configured in the settings.
     UnknownDatabase = "SP1009", "3D000", NotRun, "the database is not configured";
-    /// The connection to the back end could not be opened or broke before anything was sent.
+    /// The connection to the server could not be opened, or broke before anything was sent.
     BackEndUnreachable = "SP1010", "08001", NotRun, "the database server cannot be reached";
-    /// The retry budget is spent.
+    /// The retry budget is exhausted.
     RetryBudgetSpent = "SP1011", "53300", NotRun, "too many requests are being retried";
     /// No node that holds connections for the database can be reached.
     HomeUnreachable = "SP1012", "08001", NotRun, "no home node of the database can be reached";
-    /// The node has as many client connections as it may.
+    /// The node has reached its limit of client connections.
     TooManyClients = "SP1013", "53300", NotRun, "the node has no room for another connection";
-    /// The transaction was open on a connection that broke; it was not committed.
+    /// The connection of an open transaction broke; the transaction was not committed.
     TransactionLost = "SP1014", "40001", NotRun, "the transaction's connection was lost before its commit";
-    /// A read was interrupted; it has no effect and can be repeated.
+    /// A read was interrupted; it had no effect and can be retried.
     ReadInterrupted = "SP1015", "40001", NotRun, "the read was interrupted";
     /// The primary that ran the write was replaced, and the write is not in the surviving log.
     LostWithDeposedPrimary = "SP1016", "40001", NotRun, "the write was lost with a replaced primary";
     /// The client cancelled the statement before it was sent.
     Cancelled = "SP1017", "57014", NotRun, "the statement was cancelled before it was sent";
-    /// COPY, replication and similar are not carried.
+    /// The proxy does not support COPY, replication and similar statements.
     Unsupported = "SP1018", "0A000", NotRun, "the statement is not supported through the proxy";
-    /// The statement or message is larger than allowed.
+    /// The statement or message exceeds the size limit.
     TooLarge = "SP1019", "54000", NotRun, "the statement is larger than the limit";
-    /// The bytes are no valid message of the protocol.
+    /// The received bytes are not a valid protocol message.
     ProtocolViolation = "SP1020", "08P01", NotRun, "the message violates the protocol";
     /// The request key was used before with another statement.
     KeyReused = "SP1021", "22023", NotRun, "the request key was used with another statement";
-    /// The outcome of a commit could not be learnt.
+    /// The outcome of a commit could not be determined.
     CommitUnknown = "SP2001", "08007", Unknown, "it is not known whether the transaction committed";
-    /// A connection broke with an unkeyed write outstanding.
+    /// A connection broke while a write without a request key was outstanding.
     ConnectionLost = "SP2002", "08007", Unknown, "the connection broke with the write outstanding";
-    /// A keyed transaction had already been committed by an earlier copy.
+    /// An earlier copy of the transaction, with the same request key, has already been committed.
     AlreadyDone = "SP3001", "SP001", Done, "the request key has already been committed";
-    /// The write was done but its recorded answer is too large to be given again.
+    /// The write was done, but its answer was too large to be recorded and repeated.
     AnswerNotRecorded = "SP3002", "SP002", Done, "the request was done, its answer was not kept";
 }
 
--- a/crates/spurpier-core/src/retry.rs
+++ b/crates/spurpier-core/src/retry.rs
@@ -1,20 +1,21 @@
-//! Bounds on retries: how many, and after how long a pause.
+//! Limits on retries: a budget for their number, and a backoff between them.
 
 use std::time::Duration;
 
 use crate::time::Timestamp;
 
-/// Hundredths of a retry that one first attempt earns, and the cost of one retry.
+/// The cost of one retry, in hundredths of a retry.
 const RETRY_COST: u64 = 100;
 
 /// The settings of a [`RetryBudget`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RetryBudgetSettings {
-    /// Retries that each hundred first attempts earn.
+    /// Retries earned by each hundred first attempts.
     pub percent: u32,
-    /// Retries that are earned each second whatever the traffic, so that a quiet caller may retry.
+    /// Retries earned each second regardless of traffic, so that a caller with little traffic may
+    /// retry.
     pub per_second: u32,
-    /// The greatest number of retries that can be saved up.
+    /// Maximum number of retries that can be accumulated.
     pub burst: u32,
 }
 
@@ -28,18 +29,18 @@
     }
 }
 
-/// Bounds retries to a share of the first attempts, so that a failing party is not flooded.
+/// Limits retries to a share of the first attempts, so that they do not overload a failing peer.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     settings: RetryBudgetSettings,
-    /// What is saved, in hundredths of a retry.
+    /// The accumulated budget, in hundredths of a retry.
     balance: u64,
-    /// Until when the earnings of time have been counted.
+    /// The time up to which the per-second earnings have been added.
     time_counted_until: Timestamp,
 }
 
 impl RetryBudget {
-    /// A full budget.
+    /// Creates a full budget.
     pub fn new(settings: RetryBudgetSettings, now: Timestamp) -> Self {
         RetryBudget {
             settings,
@@ -67,12 +68,12 @@
         }
     }
 
-    /// Notes a first attempt, which earns a part of a retry.
+    /// Records a first attempt, which earns a fraction of a retry.
     pub fn record_attempt(&mut self) {
         self.deposit(u64::from(self.settings.percent));
     }
 
-    /// Takes one retry out of the budget; false when it is spent.
+    /// Takes one retry from the budget; false if the budget is exhausted.
     pub fn try_retry(&mut self, now: Timestamp) -> bool {
         self.deposit_for_time(now);
         if self.balance < RETRY_COST {
@@ -83,7 +84,7 @@
     }
 }
 
-/// Pauses between attempts that double up to a limit, with full jitter.
+/// Exponential backoff with jitter: delays between attempts double up to a maximum.
 #[derive(Debug, Clone)]
 pub struct Backoff {
     initial: Duration,
@@ -92,7 +93,8 @@
 }
 
 impl Backoff {
-    /// Pauses that start at up to `initial` and grow to up to `maximum`.
+    /// Creates a backoff whose first delay is at most `initial` and whose later ones grow up to
+    /// `maximum`.
     pub fn new(initial: Duration, maximum: Duration) -> Self {
         Backoff {
             initial,
@@ -101,14 +103,14 @@
         }
     }
 
-    /// Starts over after a success.
+    /// Restarts at the initial delay, after a success.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// The next pause: a random share of the present limit, at least half of it.
+    /// The next delay: random between half of the current upper bound and all of it.
     ///
-    /// `random` is uniform over all values of its type.
+    /// `random` must be uniform over all values of its type.
     pub fn next_delay(&mut self, random: u32) -> Duration {
         let factor = 1_u32.checked_shl(self.failures).unwrap_or(u32::MAX);
         let ceiling = self.initial.saturating_mul(factor).min(self.maximum);
@@ -117,7 +119,8 @@
     }
 }
 
-/// Spreads a period over half of it up to all of it; `random` is uniform over its type.
+/// A random duration between half of `period` and all of it; `random` must be uniform over all
+/// values of its type.
 pub fn jittered(period: Duration, random: u32) -> Duration {
     let half = period / 2;
     half + half.mul_f64(f64::from(random) / f64::from(u32::MAX))
--- a/crates/spurpier-core/src/routing.rs
+++ b/crates/spurpier-core/src/routing.rs
@@ -1,4 +1,4 @@
-//! Which server of a group runs a unit.
+//! Chooses the server of a group that runs a unit.
 
 use std::time::Duration;
 
@@ -7,40 +7,41 @@
 use crate::position::Position;
 use crate::time::Timestamp;
 
-/// What a read needs of the server that runs it.
+/// What a read requires of the server that runs it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReadDemand {
-    /// The applied position that the server must have reached.
+    /// The lowest applied position that the server may have.
     pub floor: Position,
-    /// The position of the other side's log that the server must show; zero if it need not.
+    /// The position up to which the server must have applied the other side's log; zero for none.
     pub upstream_floor: Position,
-    /// Whether a replica may serve it.
+    /// Whether a replica may serve the read.
     pub replica_allowed: bool,
 }
 
 impl ReadDemand {
-    /// Whether a server with this status may serve the read, as far as `newest_term` is known.
+    /// Whether a server with this status may serve the read, where `newest_term` is the newest term
+    /// known of the group.
     ///
-    /// A server that calls itself primary in an older term has been replaced: what it holds
-    /// beyond the newer term's start will be lost.
+    /// A server that reports itself primary in an older term has been replaced, and its records
+    /// past the newer term's start will be lost.
     pub fn is_met_by(&self, status: &ServerStatus, newest_term: u64) -> bool {
         let replaced = status.role == ServerRole::Primary && status.received.term < newest_term;
         !replaced && status.applied >= self.floor && status.upstream_applied >= self.upstream_floor
     }
 }
 
-/// What the node knows of its own use of a server.
+/// The load that this node puts on a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ServerLoad {
-    /// Units that run on it now.
+    /// Number of units that run on the server now.
     pub running: usize,
-    /// Units that wait for it.
+    /// Number of units that wait for the server.
     pub waiting: usize,
-    /// Units that it may run at the same time.
+    /// Number of units that may run on the server at the same time.
     pub slots: usize,
-    /// How far its applied position is behind the group, in time.
+    /// The server's replication lag behind the group, as a time.
     pub lag: Duration,
-    /// Whether this unit has already failed on it and should try others first.
+    /// Whether this unit has already failed on the server and should try others first.
     pub avoided: bool,
 }
 
@@ -51,30 +52,30 @@
 
     /// Whether a new unit would wait behind more than one unit for each slot.
     ///
-    /// A slot is free again within a statement, sooner than another zone answers, so a taken
-    /// slot alone is no reason to leave a server.
+    /// A slot is usually free again within one statement, sooner than a server in another zone
+    /// answers, so a server is not avoided only because its slots are taken.
     fn has_long_queue(&self) -> bool {
         self.waiting > self.slots
     }
 
-    /// Units in front of a new one for each slot, scaled so that whole numbers compare.
+    /// Units ahead of a new one for each slot, in hundredths.
     fn load_per_slot(&self) -> usize {
         (self.running + self.waiting) * 100 / self.slots.max(1)
     }
 }
 
-/// Where a unit goes.
+/// The decision on where a unit runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Route {
-    /// To the server with this index.
+    /// On the server with this index in the view.
     Server(usize),
-    /// Nowhere yet: a replica is expected to reach the floor within the time allowed.
+    /// Wait: a replica is expected to reach the floor within the allowed time.
     AwaitReplica,
-    /// Nowhere yet: the group has no primary that takes new work.
+    /// Wait: the group has no primary that accepts new work.
     AwaitPrimary,
 }
 
-/// Chooses the primary, unless it is about to stop.
+/// Chooses the primary for a write, if it accepts new work.
 pub fn route_write(view: &GroupView, now: Timestamp) -> Route {
     match view.primary() {
         Some(index) if view.servers[index].accepts_work(now) => Route::Server(index),
@@ -82,17 +83,17 @@
     }
 }
 
-/// The hand-over of a leaving primary's role.
+/// The transfer of a leaving primary's role to another server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlannedTransfer {
-    /// The primary that is leaving.
+    /// The index of the primary that is leaving.
     pub from: usize,
-    /// The server that should follow it.
+    /// The index of its successor.
     pub to: usize,
 }
 
-/// Chooses the successor of a primary that is leaving: of the servers that stay and answer, the
-/// one that has received most. None while the primary stays, or nobody can follow it.
+/// Chooses the successor of a leaving primary: of the servers that accept new work, the one with
+/// the highest received position. None if the primary is not leaving or no server can succeed it.
 pub fn planned_transfer(view: &GroupView, now: Timestamp) -> Option<PlannedTransfer> {
     let from = view.primary()?;
     if !view.servers[from].is_leaving() {
@@ -110,8 +111,8 @@
 
 /// Chooses a server for a read.
 ///
-/// `loads` stands in the order of the servers; `replica_wait` is how long the read may still wait
-/// for a replica, zero to take the primary at once.
+/// `loads` is in the order of the view's servers. `replica_wait` is how long the read may still
+/// wait for a replica to catch up; zero falls back to the primary at once.
 pub fn route_read(
     view: &GroupView,
     demand: &ReadDemand,
@@ -142,7 +143,7 @@
     }
 }
 
-/// Whether the newest status says that a server can serve the demand.
+/// Whether a server accepts new work and its newest status meets the demand.
 fn can_serve(view: &GroupView, index: usize, demand: &ReadDemand, now: Timestamp) -> bool {
     let server = &view.servers[index];
     let newest_term = view.newest_term();
@@ -153,7 +154,8 @@
     requirements_met && server.accepts_work(now)
 }
 
-/// Less is better: untried before tried, a short queue, the node's own zone, then less pressure.
+/// Sort key of a replica; the least is preferred: not yet failed for this unit, a short queue, this
+/// node's zone, then the lower load.
 fn replica_preference(
     view: &GroupView,
     loads: &[ServerLoad],
@@ -170,7 +172,7 @@
     )
 }
 
-/// The replica, unless its queue is long and the primary has a free slot.
+/// The replica, unless it is to be avoided or has a long queue and the primary has a free slot.
 fn replica_or_free_primary(loads: &[ServerLoad], replica: usize, primary: usize) -> usize {
     let load = |index: usize| loads.get(index).copied().unwrap_or_default();
     let replica_overloaded = load(replica).avoided || load(replica).has_long_queue();
@@ -182,7 +184,7 @@
     }
 }
 
-/// Whether some replica lags less than the read may wait.
+/// Whether the lag of some replica is shorter than the time that the read may wait.
 fn replica_catches_up_in_time(
     view: &GroupView,
     primary: Option<usize>,
--- a/crates/spurpier-core/src/store_version.rs
+++ b/crates/spurpier-core/src/store_version.rs
@@ -1,24 +1,26 @@
-//! Positions in the history of the platform's store.
+//! Versions of the platform's store.
 
 use std::fmt;
 
 use nanoserde::{DeBin, SerBin};
 
-/// Which history the store tells. It may come back from an older copy, and then begins a new era: it
-/// has lost what came after the copy and gives the version numbers out again.
+/// The era of the store's history.
+///
+/// A store that is restored from an older copy starts a new era: it has lost the changes made after
+/// the copy, and assigns their version numbers again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct StoreEra(u16);
 
 impl StoreEra {
-    /// The era of a store that does not tell of any.
+    /// The era of a store that does not report one.
     pub const UNREPORTED: StoreEra = StoreEra(0);
 
-    /// The era of a number; none if it is too great.
+    /// The era with this number; none if the number does not fit into 16 bits.
     pub fn new(number: u64) -> Option<Self> {
         u16::try_from(number).ok().map(StoreEra)
     }
 
-    /// Its number.
+    /// The era's number.
     pub const fn number(self) -> u64 {
         self.0 as u64
     }
@@ -30,22 +32,23 @@
     }
 }
 
-/// A version of the store: an era, and a number that rises within it.
+/// A version of the store: an era, and a number that increases within it.
 ///
-/// Ordered by the era first: whatever is told in a later era is newer. Equal numbers of two eras say
-/// nothing of each other.
+/// Versions are ordered by era first: everything that a later era reports is newer. Equal numbers
+/// of two eras are unrelated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, SerBin, DeBin)]
 pub struct StoreVersion(u64);
 
-/// The bits that hold the number within an era: at 600 writes a second they last for 14,000 years.
+/// Bits that hold the number within an era; they last for 14,000 years at 600 writes per second.
 const NUMBER_BITS: u32 = 48;
 const NUMBER_MASK: u64 = (1 << NUMBER_BITS) - 1;
 
 impl StoreVersion {
-    /// Before every version that the store gives out; as a condition, that there is no such row.
+    /// Precedes every version that the store assigns. As the expected version of a conditional
+    /// write, it means that the row must not exist.
     pub const NONE: StoreVersion = StoreVersion(0);
 
-    /// The version of a number in an era; none if the number is too great.
+    /// The version with this number in an era; none if the number does not fit into 48 bits.
     pub const fn new(era: StoreEra, number: u64) -> Option<Self> {
         if number > NUMBER_MASK {
             return None;
@@ -53,46 +56,46 @@
         Some(StoreVersion(era.number() << NUMBER_BITS | number))
     }
 
-    /// Its era.
+    /// The version's era.
     pub const fn era(self) -> StoreEra {
         StoreEra((self.0 >> NUMBER_BITS) as u16)
     }
 
-    /// Its number within the era, as the store tells it.
+    /// The version's number within its era, as the store reports it.
     pub const fn number(self) -> u64 {
         self.0 & NUMBER_MASK
     }
 
-    /// What a condition names for a row that was not there as of this version.
+    /// The expected version of a conditional write for a row that did not exist as of this version.
     pub const fn for_absent_row(self) -> Self {
         StoreVersion(self.0 & !NUMBER_MASK)
     }
 
-    /// Both in one number, in the same order.
+    /// Encodes era and number in one integer of the same order.
     pub const fn to_bits(self) -> u64 {
         self.0
     }
 
-    /// The version of such a number.
+    /// Decodes the result of [`StoreVersion::to_bits`].
     pub const fn from_bits(bits: u64) -> Self {
         StoreVersion(bits)
     }
 }
 
-/// How an answer stands to what its reader knows.
+/// Whether an answer of the store continues what its reader knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Continuity {
-    /// It tells all that has changed since the version that was asked after.
+    /// It reports everything that has changed since the requested version.
     Complete,
-    /// It is of a later era than the version that was asked after, whose number was given out again:
-    /// what changed below it is not told.
+    /// It is from a later era than the requested version, whose number has been assigned again:
+    /// changes below that number are not reported.
     EraChanged,
-    /// It is of an era before the latest one that is known.
+    /// It is from an era older than the latest known one.
     StaleEra,
 }
 
-/// How the changes that were told as of a version stand to the version that was asked after, where
-/// `latest` is the latest era that is known. [`StoreVersion::NONE`] asks for all changes ever.
+/// Classifies an answer with the changes after version `after`, as of version `reported`, where
+/// `latest` is the latest known era. [`StoreVersion::NONE`] as `after` requests all changes ever.
 pub fn continuity(after: StoreVersion, reported: StoreVersion, latest: StoreEra) -> Continuity {
     if reported.era() < latest {
         Continuity::StaleEra
--- a/crates/spurpier-core/src/time.rs
+++ b/crates/spurpier-core/src/time.rs
@@ -1,4 +1,4 @@
-//! Points in time as the decision code sees them.
+//! Timestamps of the decision logic.
 
 use std::ops::Add;
 use std::time::Duration;
@@ -13,12 +13,12 @@
     /// The origin of the clock.
     pub const ZERO: Timestamp = Timestamp(0);
 
-    /// The point that lies `micros` microseconds after the origin.
+    /// The point `micros` microseconds after the origin.
     pub const fn from_micros(micros: u64) -> Self {
         Timestamp(micros)
     }
 
-    /// The point that lies `millis` milliseconds after the origin.
+    /// The point `millis` milliseconds after the origin.
     pub const fn from_millis(millis: u64) -> Self {
         Timestamp(millis * 1_000)
     }
@@ -28,13 +28,13 @@
         self.0
     }
 
-    /// The point that lies `duration` earlier; the origin if that is later.
+    /// The point `duration` earlier, but not before the origin.
     pub fn saturating_sub(self, duration: Duration) -> Timestamp {
         let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         Timestamp(self.0.saturating_sub(micros))
     }
 
-    /// The time from `earlier` to this point; zero when `earlier` lies later.
+    /// The time elapsed since `earlier`; zero if `earlier` is later than this point.
     pub fn since(self, earlier: Timestamp) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
--- a/crates/spurpier-core/src/wire.rs
+++ b/crates/spurpier-core/src/wire.rs
@@ -1,14 +1,14 @@
-//! Compact and safe building blocks for messages between nodes.
+//! Compact encodings for messages between nodes, safe against forged lengths.
 //!
-//! nanoserde's own lists and texts carry lengths of eight bytes and trust them: a forged length
-//! makes the decoder reserve that much memory. The types here use two or four bytes, and check a
-//! length against the bytes that are left before anything is reserved.
+//! nanoserde encodes the lengths of lists and texts in eight bytes and trusts them: a forged length
+//! makes the decoder allocate that much memory. The encodings here use two or four bytes, and check
+//! a length against the remaining bytes before anything is allocated.
 
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
 use nanoserde::{DeBin, DeBinErr, SerBin};
 
-/// A list that is encoded with a length of four bytes and decoded without trust in it.
+/// A list with a four-byte length that is checked when the list is decoded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct List<T>(pub Vec<T>);
 
@@ -49,7 +49,9 @@
     }
 }
 
-/// Appends a text with a length of two bytes; what passes 65,535 bytes is cut at a character.
+/// Appends a text with a two-byte length.
+///
+/// A text longer than 65,535 bytes is truncated at a character boundary.
 pub fn encode_text(text: &str, output: &mut Vec<u8>) {
     let mut length = text.len().min(usize::from(u16::MAX));
     while !text.is_char_boundary(length) {
@@ -59,11 +61,11 @@
     output.extend_from_slice(&text.as_bytes()[..length]);
 }
 
-/// Reads a text that [`encode_text`] wrote.
+/// Reads a text written by [`encode_text`].
 ///
 /// # Errors
 ///
-/// Fails when the bytes end early or are no UTF-8.
+/// Fails if the bytes end early or are not valid UTF-8.
 pub fn decode_text<'a>(offset: &mut usize, bytes: &'a [u8]) -> Result<&'a str, DeBinErr> {
     let length = usize::from(u16::de_bin(offset, bytes)?);
     let left = bytes.len().saturating_sub(*offset);
@@ -76,18 +78,18 @@
     Ok(text)
 }
 
-/// Appends bytes with a length of four bytes.
+/// Appends bytes with a four-byte length.
 pub fn encode_bytes(payload: &[u8], output: &mut Vec<u8>) {
     let length = u32::try_from(payload.len()).unwrap_or(u32::MAX);
     length.ser_bin(output);
     output.extend_from_slice(&payload[..length as usize]);
 }
 
-/// Reads bytes that [`encode_bytes`] wrote.
+/// Reads bytes written by [`encode_bytes`].
 ///
 /// # Errors
 ///
-/// Fails when the bytes end early.
+/// Fails if the bytes end early.
 pub fn decode_bytes<'a>(offset: &mut usize, bytes: &'a [u8]) -> Result<&'a [u8], DeBinErr> {
     let length = u32::de_bin(offset, bytes)? as usize;
     let left = bytes.len().saturating_sub(*offset);
@@ -99,16 +101,16 @@
     Ok(payload)
 }
 
-/// Appends a text with a length of four bytes, for texts that must not be cut.
+/// Appends a text with a four-byte length, for texts that must not be truncated.
 pub fn encode_long_text(text: &str, output: &mut Vec<u8>) {
     encode_bytes(text.as_bytes(), output);
 }
 
-/// Reads a text that [`encode_long_text`] wrote.
+/// Reads a text written by [`encode_long_text`].
 ///
 /// # Errors
 ///
-/// Fails when the bytes end early or are no UTF-8.
+/// Fails if the bytes end early or are not valid UTF-8.
 pub fn decode_long_text<'a>(offset: &mut usize, bytes: &'a [u8]) -> Result<&'a str, DeBinErr> {
     let start = *offset;
     let payload = decode_bytes(offset, bytes)?;
@@ -131,12 +133,12 @@
     }
 }
 
-/// The tag of an IPv4 address in a message.
+/// The tag in front of an encoded IPv4 address.
 const TAG_V4: u8 = 4;
-/// The tag of an IPv6 address in a message.
+/// The tag in front of an encoded IPv6 address.
 const TAG_V6: u8 = 6;
 
-/// Appends a socket address: a tag, the octets and the port.
+/// Appends a socket address: a tag for the IP version, the octets and the port.
 pub fn encode_address(address: SocketAddr, output: &mut Vec<u8>) {
     match address.ip() {
         IpAddr::V4(ip) => {
@@ -151,11 +153,11 @@
     address.port().ser_bin(output);
 }
 
-/// Reads a socket address that [`encode_address`] wrote.
+/// Reads a socket address written by [`encode_address`].
 ///
 /// # Errors
 ///
-/// Fails when the bytes end early or the tag is unknown.
+/// Fails if the bytes end early or the tag is unknown.
 pub fn decode_address(offset: &mut usize, bytes: &[u8]) -> Result<SocketAddr, DeBinErr> {
     let tag = u8::de_bin(offset, bytes)?;
     let ip = match tag {
--- a/crates/spurpier-core/tests/admission.rs
+++ b/crates/spurpier-core/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: bounds, fairness between sessions, and refusals.
+//! Admission control: limits, fairness between sessions, and refusals.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -53,7 +53,9 @@
                         AdmissionDecision::Queued(ticket) => {
                             waiting.push((session(number), ticket, deadline));
                         }
-                        AdmissionDecision::Refused { retry_after } => prop_assert!(!retry_after.is_zero()),
+                        AdmissionDecision::Refused { retry_after } => {
+                            prop_assert!(!retry_after.is_zero());
+                        }
                     }
                 }
                 Step::Release if running > 0 => {
--- a/crates/spurpier-core/tests/handover.rs
+++ b/crates/spurpier-core/tests/handover.rs
@@ -1,4 +1,4 @@
-//! The move of a database's writes: each step waits for its confirmation.
+//! The handover of a database's writes: each step waits until the previous one is confirmed.
 
 use spurpier_core::group::{GroupView, ObservedStatus, ServerRole, ServerStatus, ServerView};
 use spurpier_core::handover::{Handover, HandoverAction, HandoverEvent, HandoverStep};
@@ -8,7 +8,8 @@
 
 const EPOCH: u64 = 3;
 
-/// Three servers, the first of them primary, of which `holders` hold `received`.
+/// Three servers of which the first is the primary and the first `holders` have received
+/// `received`; the others lack the last record.
 fn view(received: Position, holders: usize, upstream: Position) -> GroupView {
     let server = |index: usize| {
         let held = match index < holders {
--- a/crates/spurpier-core/tests/homes.rs
+++ b/crates/spurpier-core/tests/homes.rs
@@ -1,4 +1,4 @@
-//! Homes follow the membership, the same on every node, and move no more than they must.
+//! Homes follow the membership, are the same on every node, and move as little as possible.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/spurpier-core/tests/pool.rs
+++ b/crates/spurpier-core/tests/pool.rs
@@ -1,4 +1,4 @@
-//! The pool's counts: connections never pass the limit, and every count comes back.
+//! Connection counts of the pool: they never exceed the limit and always add up.
 
 use proptest::prelude::*;
 use spurpier_core::pool::{AcquireDecision, PoolState};
@@ -75,7 +75,7 @@
                 Step::Release | Step::Close => {}
             }
             prop_assert!(pool.total() <= highest_limit);
-            // Past a lowered limit no connection is added.
+            // No connection is added above a lowered limit.
             prop_assert!(pool.total() <= total.max(pool.limit()));
             prop_assert_eq!(pool.in_use(), in_use);
             prop_assert_eq!(pool.total(), in_use + opening.len() + pool.idle());
--- a/crates/spurpier-core/tests/ranks.rs
+++ b/crates/spurpier-core/tests/ranks.rs
@@ -1,5 +1,5 @@
-//! Ranks that are moved by one node at a time are those that are computed anew, at a cost that does
-//! not grow with the fleet.
+//! Rankings that are updated one node at a time equal recomputed ones, at a cost that does not grow
+//! with the cluster.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -24,14 +24,14 @@
     }
 }
 
-/// One change of the fleet.
+/// One change of the table.
 #[derive(Debug, Clone, Copy)]
 enum Change {
-    /// A node comes, or comes back in another zone or with another weight.
+    /// A node joins, or rejoins in another zone or with another weight.
     Put { number: u64, zone: u64, weight: f64 },
-    /// A node goes.
+    /// A node leaves.
     Remove { number: u64 },
-    /// A subject is asked for.
+    /// Nodes are ranked for another subject.
     AddSubject,
 }
 
@@ -45,7 +45,7 @@
     ]
 }
 
-/// The first places of each zone, computed from all nodes.
+/// The highest-ranked nodes of each zone, computed from all nodes.
 fn recomputed(
     nodes: &BTreeMap<u64, (u64, RankedNode)>,
     subject: &str,
@@ -113,7 +113,7 @@
     static SCORED: Cell<u64> = const { Cell::new(0) };
 }
 
-/// A node that counts how often it is scored.
+/// A node that counts how often nodes are scored.
 #[derive(Debug, Clone, Copy)]
 struct CountedNode(RankedNode);
 
@@ -130,7 +130,7 @@
     }
 }
 
-/// How often nodes are scored for one row, on average over each node's going and coming back.
+/// Average number of scored nodes per change, while each node leaves and rejoins once.
 fn scores_per_change(nodes: u64) -> f64 {
     let mut table = RankTable::new(MAX_HOMES);
     for number in 0..SUBJECTS {
@@ -148,16 +148,18 @@
     SCORED.get() as f64 / (2 * nodes) as f64
 }
 
-/// A fleet of any size scores at most these nodes for one row and subject: two for a node that
-/// comes and does not rank; of those that go, 12 of a zone's nodes rank, and each makes the zone's
-/// others be scored once with one more: 12 or fewer, and as many for the place that it takes back.
+/// Maximum number of nodes scored per change and subject, in a cluster of any size.
+///
+/// A node that joins without being ranked costs two. In each zone 12 nodes are ranked, and when
+/// one of them leaves, the zone's other nodes are scored once, with one more: on average over the
+/// zone's nodes 12 or fewer, and as many again when the node takes back its position.
 const MAX_SCORED: f64 = 24.0;
 
 #[test]
 fn the_cost_of_one_change_does_not_grow_with_the_cluster() {
     for nodes in [30, 300, 6_100] {
         let scored = scores_per_change(nodes) / SUBJECTS as f64;
-        println!("{nodes} nodes: {scored:.1} scored for each row and subject");
+        println!("{nodes} nodes: {scored:.1} scored per change and subject");
         assert!(scored <= MAX_SCORED, "{nodes} nodes: {scored}");
     }
 }
--- a/crates/spurpier-core/tests/retry.rs
+++ b/crates/spurpier-core/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retry budgets and pauses.
+//! Retry budgets and backoff delays.
 
 use std::time::Duration;
 
--- a/crates/spurpier-core/tests/routing.rs
+++ b/crates/spurpier-core/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Routing: whatever the group looks like, no read goes below its floor.
+//! Routing: whatever the state of the group, no read runs below its floor.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 };
 use spurpier_core::time::Timestamp;
 
-/// When the routes are asked for; statuses may be too old by then.
+/// The time of the routing decisions; statuses may be too old by then.
 const NOW: Timestamp = Timestamp::from_millis(3_000);
 
 prop_compose! {
@@ -127,13 +127,13 @@
     }
 }
 
-/// Whether the server's status still allows work.
+/// Whether the server's status is recent enough to send work to it.
 fn is_current(server: &ServerView) -> bool {
     let observed = server.observed.as_ref();
     observed.is_some_and(|observed| NOW.since(observed.requested_at) < STATUS_VALIDITY)
 }
 
-/// Three level servers, of which the first is the primary.
+/// Three servers at the same position, of which the first is the primary.
 fn caught_up_group() -> GroupView {
     let position = Position::new(1, 5);
     let server = |number: usize| ServerView {
