--- a/crates/spurpier-core/src/locality/cold.rs
+++ b/crates/spurpier-core/src/locality/cold.rs
@@ -1,9 +1,9 @@
-//! Servers that are cold: until when, and how many requests may be sent to one.
+//! Cold servers: until when a server is cold, and how many requests it may be sent meanwhile.
 //!
-//! What is judged is each span of [`WINDOW`], over all nodes together, and only what was both sent
-//! and received in it. So it is enough that no span holds more sendings than the bound, however
-//! long requests are on the way. Leaves to send are given by an authority as those of tenants are
-//! ([`crate::quota`]); its subject is the server.
+//! The limit applies to every sliding window of [`WINDOW`], over all nodes together, and counts
+//! only requests that were both sent and received within the window. It is therefore enough to
+//! limit the requests sent per window, however long they are in transit. An authority grants
+//! permits to send, as it does for tenants ([`crate::quota`]); here the subject is the server.
 
 use std::time::Duration;
 
@@ -11,44 +11,45 @@
 use crate::store_version::StoreVersion;
 use crate::time::Timestamp;
 
-/// The length of the spans in which requests to a cold server are counted.
+/// Length of the sliding window in which requests to a cold server are counted.
 pub const WINDOW: Duration = Duration::from_secs(1);
-/// Leaves that are set aside for changes of the authority. Each authority begins with one leave,
-/// and a vote lasts 700 ms, so that two can follow one another while leaves of a third are used.
+/// Permits reserved for changes of the authority. Each authority starts with one permit and a vote
+/// lasts 700 ms, so two authorities can succeed each other while permits of a third are in use.
 const AUTHORITY_CHANGE_RESERVE: f64 = 2.0;
-/// The seconds of an authority's rate that the bound of one span has to cover: the span, the 0.6 s
-/// for which leaves may be used after they were asked for, and what an authority saves up while
-/// nobody asks. A refused node asks again after 0.1 s to 0.2 s; with nothing saved up, 0.36 of a
-/// rate of 20 a second were used in the model of the tests, and 0.88 with 0.2 s saved up.
+/// Seconds of an authority's rate that the limit of one window has to cover: the window, the 0.6 s
+/// for which permits may be used after they were requested, and what an authority accumulates while
+/// no node asks. A refused node asks again after 0.1 s to 0.2 s: in the model of the tests, 0.36 of
+/// a rate of 20 requests per second was used without accumulation, and 0.88 with 0.2 s of it.
 const COVERED_SECONDS: f64 = 1.6 + 0.2 / 0.7;
-/// Fewer requests in a span than this cannot be divided: none is sent.
+/// A limit below one request per window allows none, because a request cannot be divided.
 const MIN_REQUESTS: f64 = 1.0;
 
-/// What is judged: in any span of [`WINDOW`], the requests to a cold server may be at most
-/// its group's rate x `overage` + `slack`.
+/// The limit on requests to a cold server: in any window of [`WINDOW`], at most its group's rate x
+/// `overage` + `slack`.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdBound {
-    /// The factor of the rate.
+    /// Factor applied to the group's rate.
     pub overage: f64,
-    /// Requests besides.
+    /// Requests allowed in addition, per window.
     pub slack: f64,
 }
 
 impl ColdBound {
-    /// What an authority counts by; the whole bound is in each server's [`ColdBound::authority_rate`].
+    /// The bound that an authority applies to cold servers. It adds no tolerance, because each
+    /// server's [`ColdBound::authority_rate`] already uses the whole limit.
     pub const AUTHORITY_BOUND: QuotaBound = QuotaBound {
         window: WINDOW,
         overage: 0.0,
         slack: 0.0,
     };
 
-    /// The most requests in any span, for a group's rate in requests a second.
+    /// Maximum number of requests in any window, for a group's rate in requests per second.
     pub fn max_requests(&self, per_second: f64) -> f64 {
         per_second * self.overage + self.slack
     }
 
-    /// What an authority may give for a server of a group with this rate, in requests a second;
-    /// none if the bound allows not even one request.
+    /// The rate and burst of the permits that an authority may grant for one server of a group with
+    /// this rate, in requests per second; `None` if the limit does not allow even one request.
     pub fn authority_rate(&self, per_second: f64) -> Option<QuotaRate> {
         let max_requests = self.max_requests(per_second);
         if max_requests < MIN_REQUESTS {
@@ -63,18 +64,19 @@
     }
 }
 
-/// Until when a server is cold, as its entries in the directory tell.
+/// Until when a server is cold, according to its entries in the directory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ColdState {
     until: Timestamp,
-    /// The version of the newest entry.
+    /// The store version of the newest entry.
     version: StoreVersion,
 }
 
 impl ColdState {
-    /// Takes in an entry of this version that came now. The time counts from here: how long the
-    /// entry was on the way is not known, and a node that counts too long only sends too little.
-    /// An entry that is told again changes nothing.
+    /// Records an entry that has just arrived, saying that the server stays cold for `cold_for`.
+    /// The time counts from `now`: the transit time of the entry is unknown, and a node that counts
+    /// too long only sends too little. An entry that is not newer than the last one changes
+    /// nothing.
     pub fn record_entry(&mut self, cold_for: Duration, version: StoreVersion, now: Timestamp) {
         if version <= self.version {
             return;
@@ -87,19 +89,22 @@
         };
     }
 
-    /// Until when the server is cold; a moment that is past if it is warm.
+    /// When the server stops being cold; in the past if it is warm.
     pub fn until(&self) -> Timestamp {
         self.until
     }
 
-    /// Whether the server is cold.
+    /// Whether the server is cold at `now`.
     pub fn is_cold(&self, now: Timestamp) -> bool {
         self.until > now
     }
 }
 
-/// Whether servers of a zone that was evacuated until a version of the store must not be used yet:
-/// they may have turned cold while it was, and entries are known only up to an older version.
+/// Whether the servers of a reopened zone must not be used yet, because the known directory entries
+/// are older than the reopening and the servers may have turned cold during the evacuation.
+///
+/// `reopened_at` is the store version at which the evacuation of the zone was known to be over, and
+/// `entries_known_to` is the store version up to which directory entries are known.
 pub fn is_entry_outdated(
     reopened_at: Option<StoreVersion>,
     entries_known_to: StoreVersion,
--- a/crates/spurpier-core/src/locality/demand.rs
+++ b/crates/spurpier-core/src/locality/demand.rs
@@ -1,4 +1,4 @@
-//! How much work needs a group's primary, by the regions in which that work may run.
+//! Demand for a group's primary, by the regions in which the work may run.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -6,30 +6,31 @@
 use super::regions::AllowedRegions;
 use crate::time::Timestamp;
 
-/// How many sets of regions are told apart for a group. They come from routes and tenants; what
-/// goes beyond counts for none, so that no configuration makes the counts grow.
+/// Maximum number of distinct region sets counted for a group. The sets come from routes and
+/// tenants; demand for further sets is ignored, so that no configuration makes the counts grow
+/// without bound.
 pub const MAX_REGION_SETS: usize = 16;
-/// Over what time work counts: it fades by a factor of e in so long. Some seconds of a burst weigh
-/// less than what has been asked for all along.
+/// Time constant of the exponential decay of demand. A burst of some seconds then weighs less than
+/// steady demand.
 const DECAY_TIME: Duration = Duration::from_secs(10);
 
-/// Units that need the primary and may run only in these regions.
+/// Demand from units of work that need the primary and may run only in some regions.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RegionDemand {
-    /// The regions.
+    /// The allowed regions.
     pub regions: BTreeSet<String>,
-    /// How many units were asked for, served or refused.
+    /// Number of units that were requested, whether they were served or refused.
     pub units: u32,
 }
 
-/// Units that were asked for and not told of yet.
+/// Units that were requested and not reported yet, by the regions allowed for them.
 #[derive(Debug, Clone, Default)]
 pub struct DemandCounts {
     units: BTreeMap<BTreeSet<String>, u32>,
 }
 
 impl DemandCounts {
-    /// Counts a unit; one that may run anywhere, or nowhere, asks for no region.
+    /// Counts one unit. Units that may run anywhere, or nowhere, are not counted.
     pub fn count(&mut self, allowed: &AllowedRegions) {
         let Some(regions) = allowed.names().filter(|names| !names.is_empty()) else {
             return;
@@ -41,7 +42,7 @@
         }
     }
 
-    /// What was counted since it was taken last, the greatest first.
+    /// Returns the units counted since the last call, largest count first, and resets the counts.
     pub fn take(&mut self) -> Vec<RegionDemand> {
         let units = std::mem::take(&mut self.units).into_iter();
         let mut demand: Vec<RegionDemand> = units
@@ -52,7 +53,7 @@
     }
 }
 
-/// What is asked for of a group's primary, faded with its age.
+/// Demand for a group's primary, with exponential decay.
 #[derive(Debug, Clone, Default)]
 pub struct DecayingDemand {
     units: BTreeMap<BTreeSet<String>, f64>,
@@ -60,7 +61,7 @@
 }
 
 impl DecayingDemand {
-    /// Takes in units that were just asked for.
+    /// Records units that were just requested.
     pub fn record(&mut self, demand: &[RegionDemand], now: Timestamp) {
         self.decay(now);
         for set in demand {
@@ -73,9 +74,9 @@
         }
     }
 
-    /// Fades what is known, and forgets what has faded away.
+    /// Applies the decay up to `now`, and drops region sets with negligible demand.
     pub fn decay(&mut self, now: Timestamp) {
-        /// A level that no decision depends on.
+        /// Demand below this affects no decision.
         const MIN_UNITS: f64 = 0.01;
         let age = now.since(self.decayed_at);
         let factor = (-age.as_secs_f64() / DECAY_TIME.as_secs_f64()).exp();
@@ -86,12 +87,12 @@
         });
     }
 
-    /// All that is asked for within bounds.
+    /// Total demand, in decayed units. Work that may run anywhere is not part of it.
     pub fn total(&self) -> f64 {
         self.units.values().sum()
     }
 
-    /// What a primary in a region may run of it.
+    /// The part of the demand that a primary in `region` may run, in decayed units.
     pub fn allowed_in(&self, region: &str) -> f64 {
         let units = self.units.iter();
         let allowed = units.filter(|(regions, _)| regions.contains(region));
--- a/crates/spurpier-core/src/locality/evacuation.rs
+++ b/crates/spurpier-core/src/locality/evacuation.rs
@@ -1,8 +1,8 @@
-//! Zones that are evacuated: until when something may still be sent to their servers.
+//! Evacuated zones: until when requests may still be sent to their servers.
 //!
-//! The operator's bound begins when the store acknowledges the row of an evacuation. A node does not
-//! know that moment. It knows when the store last told of the rows without this one: the row was
-//! written no earlier, and the node counts from there.
+//! The operator's time limit starts when the store acknowledges the row of an evacuation. A node
+//! does not know that moment, but it knows when the store last reported the rows without this one.
+//! The row was written no earlier, so the node counts from there.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,56 +10,57 @@
 use crate::store_version::StoreVersion;
 use crate::time::Timestamp;
 
-/// For how long the store may hold back a change while it tells that nothing has changed, as in
+/// How long the store may withhold a change while it reports that nothing has changed, as in
 /// [`LEADER_LEASE_MARGIN`](crate::leader::LEADER_LEASE_MARGIN).
 pub const MAX_STORE_LAG: Duration = Duration::from_millis(1_000);
-/// What is kept of the bound for the way to a server, for a write that its link delays, and for
-/// clocks that drift: 20 ms of way between regions, and half a second at which a link counts as
-/// overloaded.
+/// Part of the evacuation bound reserved for transit to a server, for writes that the link delays,
+/// and for clock drift. Transit between regions takes 20 ms, and a link counts as overloaded at a
+/// delay of half a second.
 pub const DELIVERY_MARGIN: Duration = Duration::from_millis(500);
 
-/// What may be sent to the servers of a zone.
+/// What requests may be sent to the servers of a zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ZonePhase {
-    /// Anything.
+    /// The zone is not evacuated: all requests.
     Open,
-    /// It is evacuated: what no server elsewhere can run.
+    /// The evacuation has started: only requests that no server elsewhere can run.
     Evacuating,
-    /// Nothing.
+    /// The evacuation is complete: no requests.
     Closed,
 }
 
-/// What a change of the rows means for the zones.
+/// The effect of an update of the evacuation rows on the zones.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct EvacuationChanges {
-    /// Zones that are evacuated from now on.
+    /// Zones that are newly evacuated.
     pub evacuated: Vec<String>,
-    /// Zones that are not evacuated any more.
+    /// Zones that are no longer evacuated.
     pub reopened: Vec<String>,
 }
 
 impl EvacuationChanges {
-    /// Whether nothing has changed.
+    /// Whether no zone has changed.
     pub fn is_empty(&self) -> bool {
         self.evacuated.is_empty() && self.reopened.is_empty()
     }
 }
 
-/// The evacuated zones as one node knows them.
+/// The evacuated zones as known to one node.
 #[derive(Debug, Clone)]
 pub struct Evacuations {
-    /// Within what nothing more may arrive at the servers of an evacuated zone.
+    /// Time after the write of an evacuation's row within which the last request may arrive.
     bound: Duration,
-    /// When the evacuated zones are closed, by their names.
+    /// When each evacuated zone closes, by zone name.
     closes_at: BTreeMap<String, Timestamp>,
-    /// The store's version at which zones were known to be taken back, by their names.
+    /// Store version at which each zone was last known to be reopened, by zone name.
     reopened_at: BTreeMap<String, StoreVersion>,
-    /// The store's version at which the rows were first known.
+    /// Store version at which the rows were first known.
     first_version: Option<StoreVersion>,
 }
 
 impl Evacuations {
-    /// Nothing is known; nothing may arrive later than `bound` after an evacuation's row.
+    /// No rows are known yet. `bound` is the time after the write of an evacuation's row within
+    /// which the last request may arrive at the servers of the zone.
     pub fn new(bound: Duration) -> Self {
         Evacuations {
             bound,
@@ -69,10 +70,10 @@
         }
     }
 
-    /// Takes in which zones are evacuated as of a version of the store.
+    /// Applies the set of zones that are evacuated as of a store version.
     ///
-    /// `last_reported_at` is up to when the store had told of the rows as they were known before; none if
-    /// nothing was, so that a row may be of any age.
+    /// `last_reported_at` is when the store last reported the rows as they were known before. It is
+    /// `None` if no rows were known: a row may then be of any age, and its zone closes at once.
     pub fn apply(
         &mut self,
         zones: &BTreeSet<String>,
@@ -97,7 +98,7 @@
         changes
     }
 
-    /// When a zone is closed whose row may have been written from `last_reported_at` on.
+    /// When a zone closes whose row was written at `last_reported_at` at the earliest.
     fn closing_time(&self, last_reported_at: Option<Timestamp>) -> Timestamp {
         let remaining = self.bound.saturating_sub(MAX_STORE_LAG + DELIVERY_MARGIN);
         last_reported_at.map_or(Timestamp::ZERO, |last_reported_at| {
@@ -105,12 +106,12 @@
         })
     }
 
-    /// The store's version at which the rows were first known; none while nothing is known.
+    /// Store version at which the rows were first known; `None` while no rows are known.
     pub fn first_version(&self) -> Option<StoreVersion> {
         self.first_version
     }
 
-    /// What may be sent to the servers of a zone.
+    /// What requests may be sent to the servers of a zone at `now`.
     pub fn phase(&self, zone: &str, now: Timestamp) -> ZonePhase {
         match self.closes_at(zone) {
             None => ZonePhase::Open,
@@ -119,22 +120,22 @@
         }
     }
 
-    /// From when on nothing more may be sent to the servers of a zone; none if it is not evacuated.
+    /// When the zone closes to all requests; `None` if it is not evacuated.
     pub fn closes_at(&self, zone: &str) -> Option<Timestamp> {
         self.closes_at.get(zone).copied()
     }
 
-    /// The evacuated zones, and from when on nothing more may be sent to each.
+    /// The evacuated zones, and when each closes to all requests.
     pub fn zones(&self) -> impl Iterator<Item = (&str, Timestamp)> {
         let zones = self.closes_at.iter();
         zones.map(|(zone, closes_at)| (zone.as_str(), *closes_at))
     }
 
-    /// The store's version as of which a zone was last known to be taken back. A server that stands
-    /// there may have turned cold before, so that an older entry of it must not be believed.
+    /// Store version at which a zone was last known to be reopened. A server in the zone may have
+    /// turned cold before that, so older directory entries of it must not be trusted.
     ///
-    /// A node that has started since does not know: for it the version counts at which it first knew
-    /// the rows. None while nothing is known.
+    /// A node that has started since then does not know of the evacuation; it uses the version at
+    /// which it first knew the rows. `None` while no rows are known.
     pub fn reopened_at(&self, zone: &str) -> Option<StoreVersion> {
         let known = self.reopened_at.get(zone).copied();
         known.or(self.first_version)
--- a/crates/spurpier-core/src/locality/mod.rs
+++ b/crates/spurpier-core/src/locality/mod.rs
@@ -1,4 +1,5 @@
-//! Where work may run: regions, evacuated zones and servers that are cold.
+//! Where work may run: allowed regions, evacuated zones, cold servers, and the region of a group's
+//! primary.
 
 mod cold;
 mod demand;
--- a/crates/spurpier-core/src/locality/moves.rs
+++ b/crates/spurpier-core/src/locality/moves.rs
@@ -1,9 +1,8 @@
-//! When a primary that serves is moved to another region, for the work that may not run where it
-//! stands.
+//! Moves of a healthy primary to another region, for work that may not run in its current region.
 //!
-//! A move stops all work that needs the primary for about a second, so that it must pay: much more
-//! work must be allowed there than here, for a while, and not shortly after the last move. Work of
-//! two regions that pulls to both sides leaves the primary where it is.
+//! A move stops all work that needs the primary for about a second, so it must be worthwhile: the
+//! new region must allow much more work than the current one, for some time, and the last move must
+//! not be recent. Demand that is divided evenly between two regions does not move the primary.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,40 +10,41 @@
 use super::demand::DecayingDemand;
 use crate::time::Timestamp;
 
-/// The share of all bounded work that a move must make possible. Half of the work on either side
-/// moves nothing, and neither does 60 against 40 of a hundred.
+/// Minimum gain of a move, as a share of all region-restricted demand. A split of 50 to 50 between
+/// two regions does not move the primary, and neither does one of 60 to 40.
 const MIN_GAIN_SHARE: f64 = 0.25;
-/// Fewer units than this move nothing: single statements of an operator are no demand.
+/// Minimum gain of a move in decayed units, so that single statements of an operator move nothing.
 const MIN_GAIN_UNITS: f64 = 2.0;
-/// For how long a region must be the best one. Longer than two reports of all nodes take to come
-/// in, so that the first nodes to tell do not decide.
+/// How long a region must remain the best one. Longer than two rounds of demand reports from all
+/// nodes take to arrive, so that the first nodes to report do not decide.
 const STABILIZATION_TIME: Duration = Duration::from_secs(3);
-/// For how long a move is tried.
+/// How long a move is attempted before it is abandoned.
 const MOVE_TIMEOUT: Duration = Duration::from_secs(5);
-/// From the start of one move to that of the next at least: two moves a minute stop 3% of the work
-/// that needs the primary.
+/// Minimum time from the start of one move to the start of the next. Two moves a minute stop 3% of
+/// the work that needs the primary.
 pub const MIN_MOVE_INTERVAL: Duration = Duration::from_secs(30);
 
-/// A region and since when it is the best, or wanted.
+/// A region, and since when it has been the best one or the target of a move.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct RegionSince {
     region: String,
     since: Timestamp,
 }
 
-/// Where a group's primary is to stand, as one node decides it.
+/// Decides on one node to which region a group's primary moves.
 #[derive(Debug, Clone, Default)]
 pub struct PrimaryMovePlanner {
     best: Option<RegionSince>,
-    /// The move that is being tried.
+    /// The target of the move that is being attempted.
     target: Option<RegionSince>,
-    /// When the last move was begun, whatever came of it.
+    /// When the last move was started, whether or not it succeeded.
     last_started: Option<Timestamp>,
 }
 
 impl PrimaryMovePlanner {
-    /// The region that the primary is to move to; none if it is to stay. It stands in the region
-    /// `current`, and other servers that could take over stand in `candidates`.
+    /// The region to which the primary should move now; `None` if it should stay. `current` is the
+    /// region of the primary, and `candidates` are the regions of the servers that could take over.
+    /// The same target is returned again until the move succeeds or is abandoned.
     pub fn decide(
         &mut self,
         demand: &DecayingDemand,
@@ -91,7 +91,7 @@
     }
 }
 
-/// The region that allows most, if that is enough more than the present one allows.
+/// The candidate region that allows the most demand, if its gain over the current region suffices.
 fn better_region<'a>(
     demand: &DecayingDemand,
     current: &str,
--- a/crates/spurpier-core/src/locality/regions.rs
+++ b/crates/spurpier-core/src/locality/regions.rs
@@ -3,16 +3,16 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// The regions in which a unit may run: anywhere, or only in some; in none at all if a route and a
-/// tenant have no region in common.
+/// The regions in which a unit may run: all regions, or only some of them. The set is empty if a
+/// route and a tenant have no region in common.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct AllowedRegions {
-    /// The regions; none if there is no bound.
+    /// The allowed regions; `None` if they are not restricted.
     only: Option<Arc<BTreeSet<String>>>,
 }
 
 impl AllowedRegions {
-    /// No bound.
+    /// All regions, including unknown ones.
     pub const ANYWHERE: AllowedRegions = AllowedRegions { only: None };
 
     /// Only these regions.
@@ -22,7 +22,7 @@
         }
     }
 
-    /// The regions that both allow.
+    /// The regions that both `self` and `other` allow.
     pub fn intersection(&self, other: &Self) -> Self {
         match (&self.only, &other.only) {
             (None, _) => other.clone(),
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Whether there is no bound.
+    /// Whether the regions are not restricted.
     pub fn is_anywhere(&self) -> bool {
         self.only.is_none()
     }
@@ -41,7 +41,8 @@
         self.only.as_ref().is_some_and(|only| only.is_empty())
     }
 
-    /// Whether a region is allowed; one that is not known is allowed only where there is no bound.
+    /// Whether a region is allowed. An unknown region (`None`) is allowed only without a
+    /// restriction.
     pub fn allows(&self, region: Option<&str>) -> bool {
         match &self.only {
             None => true,
@@ -49,7 +50,7 @@
         }
     }
 
-    /// The names of the regions; none if there is no bound.
+    /// The names of the allowed regions; `None` if they are not restricted.
     pub fn names(&self) -> Option<&BTreeSet<String>> {
         self.only.as_deref()
     }
--- a/crates/spurpier-core/src/locality/retained.rs
+++ b/crates/spurpier-core/src/locality/retained.rs
@@ -6,24 +6,25 @@
 use crate::store_version::StoreEra;
 use crate::time::Timestamp;
 
-/// How long the operator may take to write again what the store has lost.
+/// Time for the operator to write lost evacuation rows again. Retained zones reopen after it.
 pub const REWRITE_GRACE_PERIOD: Duration = Duration::from_secs(10);
 
-/// Zones that stay evacuated although the store, back from an older copy, does not tell so.
+/// Zones that stay evacuated although the store, restored from an older copy, has lost their rows.
 ///
-/// The operator writes their rows again. Until then nothing tells a row that is missing from one
-/// that was taken away, and a zone that is used too early breaks the operator's bound.
+/// The operator writes the rows again. Until then a lost row cannot be distinguished from one that
+/// was deleted, and a zone that is used too early violates the operator's evacuation bound.
 #[derive(Debug, Clone, Default)]
 pub struct RetainedZones {
-    /// The era in which rows were last told; none before any.
+    /// The store era of the last reported rows; `None` before any.
     era: Option<StoreEra>,
     zones: BTreeSet<String>,
     until: Timestamp,
 }
 
 impl RetainedZones {
-    /// The zones that count as evacuated when the store tells some in an era; `known` are those that
-    /// counted so before.
+    /// The zones that count as evacuated when the store reports `reported` in an era; `known` are
+    /// the zones that counted as evacuated before. When the era changes, all `known` zones are
+    /// retained for [`REWRITE_GRACE_PERIOD`].
     pub fn with_retained(
         &mut self,
         known: impl IntoIterator<Item = String>,
@@ -36,7 +37,7 @@
             self.zones = known.into_iter().collect();
             self.until = now + REWRITE_GRACE_PERIOD;
         }
-        // A zone that is told again is taken back as any other.
+        // A zone that is reported again reopens like any other when its row is deleted.
         self.zones.retain(|zone| !reported.contains(zone));
         if now >= self.until {
             self.zones.clear();
@@ -44,7 +45,7 @@
         reported.union(&self.zones).cloned().collect()
     }
 
-    /// Until when zones are held; none if none is.
+    /// Until when zones are retained; `None` if none is.
     pub fn retained_until(&self) -> Option<Timestamp> {
         (!self.zones.is_empty()).then_some(self.until)
     }
--- a/crates/spurpier-core/src/session/floors.rs
+++ b/crates/spurpier-core/src/session/floors.rs
@@ -1,4 +1,4 @@
-//! Floors: the positions below which a session's reads may not fall.
+//! Read floors: the minimum positions that a session's reads must observe.
 
 use std::collections::BTreeMap;
 
@@ -6,24 +6,25 @@
 use crate::identity::GroupId;
 use crate::position::Position;
 
-/// A session's floor in each group that it knows; floors only rise.
+/// A session's read floor in each group: a read must observe the group's state at this position or
+/// a later one. Floors only rise.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct ReadFloors {
     positions: BTreeMap<GroupId, Position>,
 }
 
 impl ReadFloors {
-    /// No floor anywhere.
+    /// No floor in any group.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The floor in a group; none when the session knows none.
+    /// The floor in a group; `None` if reads of the group are not restricted.
     pub fn floor(&self, group: &GroupId) -> Option<Position> {
         self.positions.get(group).copied()
     }
 
-    /// Raises the floor in a group and says whether it rose; a lower position changes nothing.
+    /// Raises the floor in a group, and returns whether it rose. A lower position changes nothing.
     pub fn raise(&mut self, group: &GroupId, position: Position) -> bool {
         match self.positions.get_mut(group) {
             Some(floor) if *floor >= position => false,
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Raises the floors to those of a token and says whether any rose.
+    /// Raises the floors to the positions of a token, and returns whether any rose.
     pub fn raise_to(&mut self, token: &PositionToken) -> bool {
         let mut rose = false;
         for (group, position) in token.positions() {
@@ -47,7 +48,7 @@
         rose
     }
 
-    /// All floors as a token for the client.
+    /// All floors, as a token for the client.
     pub fn token(&self) -> PositionToken {
         PositionToken::new(self.positions.clone())
     }
--- a/crates/spurpier-core/src/session/mod.rs
+++ b/crates/spurpier-core/src/session/mod.rs
@@ -1,4 +1,4 @@
-//! What a client session carries from request to request: its floors and its settings.
+//! State of a client session that is kept between requests: its read floors and its settings.
 
 mod floors;
 mod settings;
--- a/crates/spurpier-core/src/session/settings.rs
+++ b/crates/spurpier-core/src/session/settings.rs
@@ -1,8 +1,9 @@
-//! The settings of a session, which follow it from one back-end connection to the next.
+//! The settings of a session, which are applied to each back-end connection that it uses.
 
 use crate::statement::SettingChange;
 
-/// A session's settings, with those of the open transaction block kept apart until its commit.
+/// A session's settings. Changes made in the open transaction block are kept apart until its
+/// commit.
 #[derive(Debug, Clone, Default)]
 pub struct SessionSettings {
     defaults: Vec<(String, String)>,
@@ -18,7 +19,7 @@
 }
 
 impl SessionSettings {
-    /// The settings that the client gave at start-up, to which a reset goes back.
+    /// A session with the settings of the client's startup message, which a reset restores.
     pub fn new(defaults: Vec<(String, String)>) -> Self {
         SessionSettings {
             committed: defaults.clone(),
@@ -27,13 +28,13 @@
         }
     }
 
-    /// The SQL value to which a reset sets the setting; none for the server's own default.
+    /// The SQL value that a reset restores; `None` if it restores the server's own default.
     pub fn default_value(&self, name: &str) -> Option<&str> {
         let default = self.defaults.iter().find(|(known, _)| known == name);
         default.map(|(_, value)| value.as_str())
     }
 
-    /// The settings that hold outside the open transaction block: names and SQL values, in the
+    /// The settings that apply outside the open transaction block: names and SQL values, in the
     /// order in which they were set.
     pub fn committed(&self) -> &[(String, String)] {
         &self.committed
@@ -60,7 +61,7 @@
         self.pending.push(change);
     }
 
-    /// The names of all settings that are set now, pending ones included.
+    /// The names of all settings that are set now, including pending ones.
     pub fn names(&self) -> Vec<String> {
         let mut names: Vec<String> = self
             .committed
@@ -77,17 +78,17 @@
         names
     }
 
-    /// How many settings and pending changes are held.
+    /// Number of committed settings and pending changes that are stored.
     pub fn change_count(&self) -> usize {
         self.committed.len() + self.pending.len()
     }
 
-    /// How many savepoints are held.
+    /// Number of savepoints in the open transaction block.
     pub fn savepoint_count(&self) -> usize {
         self.savepoints.len()
     }
 
-    /// Records a savepoint.
+    /// Records a new savepoint of the open transaction block.
     pub fn add_savepoint(&mut self, name: &str) {
         self.savepoints.push(Savepoint {
             name: name.to_owned(),
@@ -95,14 +96,15 @@
         });
     }
 
-    /// Records the release of a savepoint and of those set after it.
+    /// Records the release of a savepoint and of all later ones. An unknown name changes nothing.
     pub fn release_savepoint(&mut self, name: &str) {
         if let Some(index) = self.find_savepoint(name) {
             self.savepoints.truncate(index);
         }
     }
 
-    /// Drops the changes made since a savepoint, which itself stays.
+    /// Drops the changes made since a savepoint, which itself stays. An unknown name changes
+    /// nothing.
     pub fn rollback_to_savepoint(&mut self, name: &str) {
         if let Some(index) = self.find_savepoint(name) {
             self.pending.truncate(self.savepoints[index].pending_before);
@@ -110,7 +112,7 @@
         }
     }
 
-    /// The transaction block was committed: its changes hold from now on.
+    /// Records the commit of the transaction block: its changes now apply to the session.
     pub fn commit(&mut self) {
         self.savepoints.clear();
         for change in std::mem::take(&mut self.pending) {
@@ -118,7 +120,7 @@
         }
     }
 
-    /// The transaction block was rolled back: its changes are gone.
+    /// Records the rollback of the transaction block: its changes are discarded.
     pub fn rollback(&mut self) {
         self.savepoints.clear();
         self.pending.clear();
--- a/crates/spurpier-core/src/session/token.rs
+++ b/crates/spurpier-core/src/session/token.rs
@@ -7,19 +7,19 @@
 use crate::identity::{DatabaseName, GroupId, Side};
 use crate::position::Position;
 
-/// The longest token that is read, in bytes.
+/// Maximum length of a token that is parsed, in bytes.
 const MAX_TOKEN_BYTES: usize = 16 * 1024;
 
 /// A session's positions in the form `database.side=term/offset`, joined with commas.
 ///
-/// In a database's name `%` and `,` are written as `%25` and `%2C`.
+/// In database names, `%` and `,` are escaped as `%25` and `%2C`.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct PositionToken {
     positions: BTreeMap<GroupId, Position>,
 }
 
 impl PositionToken {
-    /// The token of these positions.
+    /// A token with these positions.
     pub fn new(positions: BTreeMap<GroupId, Position>) -> Self {
         PositionToken { positions }
     }
@@ -44,7 +44,7 @@
     }
 }
 
-/// A text that is no position token.
+/// The text is not a valid position token.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InvalidToken;
 
