--- a/crates/spurpier-core/tests/cold.rs
+++ b/crates/spurpier-core/tests/cold.rs
@@ -1,9 +1,9 @@
-//! Requests to a cold server, in a model with cuts, pauses, restarts, late, lost and doubled
-//! messages, nodes that differ about who is there, and a server that turns cold again. The oracle
-//! counts every sliding second.
+//! Requests to a cold server, in a model with network partitions, frozen nodes, restarts, delayed,
+//! lost and duplicated messages, differing node lists, and a server that turns cold again. The
+//! oracle counts the requests in every sliding window of one second.
 //!
-//! Longer rounds by hand: `PROOF_SEED=7 PROOF_CASES=20000 cargo test -p spurpier-core --test cold`.
-//! The table of the ways: `cargo test -p spurpier-core --test cold ways -- --nocapture`.
+//! Longer runs: `PROOF_SEED=7 PROOF_CASES=20000 cargo test -p spurpier-core --test cold`.
+//! Comparison: `cargo test -p spurpier-core --test cold limit_methods -- --nocapture`.
 
 mod cold_model;
 mod proof;
@@ -22,7 +22,7 @@
 
 const DEFAULT_CASES: u64 = 300;
 
-/// Any step may follow any other.
+/// A reference model in which any step may follow any other; its state is the group's rate.
 struct AnyStep;
 
 impl ReferenceStateMachine for AnyStep {
@@ -69,9 +69,9 @@
     fn no_window_exceeds_the_request_limit(sequential 1..60 => ColdServer);
 }
 
-/// Whether random steps find a second that holds more than its bound.
+/// Whether random steps find a window with more requests than the limit.
 fn finds_violation(method: LimitMethod, breakage: Breakage) -> bool {
-    // With 300 cases of seed 11 leaves that do not end were not noticed.
+    // 300 cases with seed 11 did not detect permits that never expire.
     let mut runner = TestRunner::new(config(5_000));
     let cases = proptest::collection::vec(steps(), 1..60);
     let played = runner.run(&cases, |steps| {
@@ -104,8 +104,8 @@
     }
 }
 
-/// Ten seconds of one situation: the fullest second, the share of the rate that was used, and how
-/// long requests waited.
+/// Runs one scenario for ten seconds. Returns the highest number of requests in a window, the share
+/// of the rate that was used, and the mean waiting time of requests.
 fn measure(method: LimitMethod, rate: f64, disruptions: &[Step]) -> (usize, f64, Duration) {
     let mut world = World::new(method, rate, Breakage::None);
     world.apply(Step::Advance(50));
@@ -121,7 +121,7 @@
 
 #[test]
 fn limit_methods_compared() {
-    let half = [
+    let partition = [
         Step::Cut(0b0_0011),
         Step::SetReachable(0, 0b0_0011),
         Step::SetReachable(1, 0b0_0011),
@@ -129,33 +129,33 @@
         Step::SetReachable(3, 0b1_1100),
         Step::SetReachable(4, 0b1_1100),
     ];
-    let late = [
+    let differing_lists = [
         Step::SetReachable(3, 0b1_1000),
         Step::SetReachable(4, 0b1_1000),
     ];
-    let lone = [Step::Freeze(1, true), Step::Freeze(2, true)];
-    let situations: [(&str, &[Step]); 4] = [
+    let two_frozen = [Step::Freeze(1, true), Step::Freeze(2, true)];
+    let scenarios: [(&str, &[Step]); 4] = [
         ("calm", &[]),
-        ("cut", &half),
-        ("lists differ", &late),
-        ("two stand still", &lone),
+        ("partition", &partition),
+        ("lists differ", &differing_lists),
+        ("two frozen", &two_frozen),
     ];
-    println!("| situation | rate | way | fullest second / bound | share of the rate | wait ms |");
-    for (name, disruptions) in situations {
+    println!("| scenario | rate | method | highest count / limit | share of the rate | wait ms |");
+    for (name, disruptions) in scenarios {
         for rate in RATES {
             for method in [
                 LimitMethod::Permits,
                 LimitMethod::Forwarding,
                 LimitMethod::EqualShares,
             ] {
-                let (highest_count, used, wait) = measure(method, rate, disruptions);
-                let max_requests = BOUND.max_requests(rate);
+                let (highest, used, wait) = measure(method, rate, disruptions);
+                let limit = BOUND.max_requests(rate);
                 let wait = wait.as_millis();
                 println!(
-                    "| {name} | {rate} | {method:?} | {highest_count} / {max_requests} | {used:.2} | {wait} |"
+                    "| {name} | {rate} | {method:?} | {highest} / {limit} | {used:.2} | {wait} |"
                 );
                 if method == LimitMethod::Permits {
-                    assert!(highest_count as f64 <= max_requests, "{name} {rate}");
+                    assert!(highest as f64 <= limit, "{name} {rate}");
                     assert!(used >= 0.75, "{name} {rate}: {used}");
                 }
             }
@@ -234,7 +234,7 @@
     let rate = bound(1.5, 5.0).authority_rate(20.0).expect("allowed");
     assert!(rate.per_second >= 20.0 * 0.85);
     assert!(rate.per_second + rate.burst <= 33.0);
-    // Never more than the bound, also where the factor is small.
+    // The limit also applies with a small factor.
     let rate = bound(0.5, 1.0).authority_rate(20.0).expect("allowed");
     assert!(rate.per_second + rate.burst <= 11.0);
 }
--- a/crates/spurpier-core/tests/cold_model/mod.rs
+++ b/crates/spurpier-core/tests/cold_model/mod.rs
@@ -1,4 +1,5 @@
-//! Nodes that send requests to one cold server, in one of three ways to bound them.
+//! A model of nodes that send requests to one cold server, under one of three methods of limiting
+//! them.
 
 use std::time::Duration;
 
@@ -11,11 +12,11 @@
 use spurpier_core::store_version::StoreVersion;
 use spurpier_core::time::Timestamp;
 
-/// How many nodes there are, ranked in the order of their numbers.
+/// Number of nodes. They are ranked by their numbers.
 pub const NODES: usize = 5;
-/// How long a turn of the model takes.
+/// Duration of one turn of the model.
 const TURN: Duration = Duration::from_millis(20);
-/// How often a node votes that asks for nothing.
+/// Interval at which a node votes that requests no permits.
 const VOTE_INTERVAL: Duration = Duration::from_millis(300);
 /// How long the server is cold after each time that it turns cold.
 const COLD_FOR: Duration = Duration::from_secs(8);
@@ -23,64 +24,66 @@
 const NAMES: [&str; NODES] = ["n0", "n1", "n2", "n3", "n4"];
 const SERVER: &str = "server";
 
-/// What is judged.
+/// The limit that is checked.
 pub const BOUND: ColdBound = ColdBound {
     overage: 1.5,
     slack: 5.0,
 };
-/// The rate of the server's group, in requests a second.
+/// The rates of the server's group that are tested, in requests per second.
 pub const RATES: [f64; 3] = [4.0, 20.0, 100.0];
 
-/// How requests are bounded.
+/// How the requests of all nodes are limited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitMethod {
-    /// One authority gives leaves; nodes vote for it by asking.
+    /// One authority grants permits; nodes vote for it with their permit requests.
     Permits,
-    /// The first-ranked node of each node's list sends, and the others hand on to it.
+    /// The first-ranked node of each node's list sends all requests; the others forward to it.
     Forwarding,
-    /// Each node sends an equal part, by the number of nodes on its list.
+    /// Each node sends an equal share of the rate, by the number of nodes on its list.
     EqualShares,
 }
 
-/// A mechanism that is taken out.
+/// A mechanism that is disabled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Breakage {
+    /// All mechanisms work.
     None,
-    /// An authority gives the whole rate whoever asks.
+    /// An authority grants the whole rate without the votes of a majority.
     NoMajority,
-    /// A server that comes back is used whatever entry is known of it.
+    /// A server of a reopened zone is used although only an outdated entry of it is known.
     OutdatedEntries,
-    /// Permits do not end.
+    /// Permits do not expire.
     NonExpiringPermits,
 }
 
-/// What happens next.
+/// A step of the model.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
-    /// So many turns pass.
+    /// This number of turns pass.
     Advance(u8),
-    /// The nodes of a set and the others no longer reach each other; an empty set heals it.
+    /// A partition between the nodes of a set and the others; an empty set ends it.
     Cut(u8),
-    /// Which nodes a node lists and takes to be reachable, whether they are or not.
+    /// The set of nodes that a node lists as reachable, whether or not they are.
     SetReachable(usize, u8),
-    /// A node's list holds one more node, or not any more.
+    /// Whether a node's list has one additional node.
     SetExtraListed(usize, bool),
-    /// A node stands still, or goes on.
+    /// Whether a node is frozen.
     Freeze(usize, bool),
-    /// A node's process ends and starts again.
+    /// A node's process restarts.
     Restart(usize),
-    /// How long messages take from now on, in milliseconds.
+    /// The transit time of messages from now on, in milliseconds.
     SetDelay(u64),
-    /// Every n-th message is doubled, and every other n-th lost; 0 for none.
+    /// Every n-th message is alternately duplicated and lost; 0 for none.
     SetDisturbance(u8),
-    /// How many requests clients ask for at each node and turn.
+    /// Number of client requests per node and turn.
     SetDemand(u8),
-    /// The server's zone was evacuated and is taken back, and it has turned cold meanwhile. A node
-    /// learns of the first after one number of turns and of its entry after another.
+    /// The server's zone reopens after an evacuation, during which the server has turned cold. The
+    /// node receives the reopening after the first number of turns and the server's entry after the
+    /// second; other nodes receive both later.
     TurnCold(usize, u8, u8),
 }
 
-/// Steps in any order.
+/// Random steps, of which some kinds are more frequent.
 pub fn steps() -> impl Strategy<Value = Step> {
     let node = 0..NODES;
     let set = 0_u8..(1 << NODES);
@@ -111,7 +114,7 @@
         has_majority: bool,
         stamp: Stamp,
     },
-    /// A request that another node is to send.
+    /// A request that another node forwards to the node that sends.
     Forwarded { asked_at: Timestamp },
 }
 
@@ -121,7 +124,7 @@
     to: usize,
     arrives_at: Timestamp,
     asked_at: Timestamp,
-    /// The incarnation of the process that asked.
+    /// The incarnation of the process that sent the request.
     incarnation: u64,
     message: Message,
 }
@@ -133,18 +136,18 @@
     choice: AuthorityChoice,
     bucket: Bucket,
     reachable: u8,
-    /// How many nodes its list holds beside those of the model.
+    /// Number of nodes on its list that are not in the model.
     extra_listed: usize,
     is_frozen: bool,
     incarnation: u64,
     coldness: ColdState,
     entries_known_to: u64,
     reopened_at: Option<u64>,
-    /// News on the way: when they come, and whether they are entries.
+    /// Updates in transit: arrival time, whether it is a directory entry, and store version.
     updates: Vec<(Timestamp, bool, u64)>,
 }
 
-/// All nodes, what is on the way between them, and all requests that were sent to the server.
+/// All nodes, the messages between them, and all requests that were sent to the server.
 #[derive(Debug)]
 pub struct World {
     method: LimitMethod,
@@ -159,7 +162,7 @@
     demand: u8,
     version: u64,
     messages: usize,
-    /// When requests were sent, and since when they waited for that.
+    /// The requests: when each was sent, and when it was received from the client.
     sent: Vec<(Timestamp, Timestamp)>,
 }
 
@@ -204,14 +207,14 @@
         }
     }
 
-    /// The requests of the first span that holds more than its bound; none if there is none.
+    /// The highest number of requests in a window, if it exceeds the limit.
     pub fn violated_window(&self) -> Option<usize> {
         let max_requests = BOUND.max_requests(self.per_second);
         let highest_count = self.max_window_requests();
         (highest_count as f64 > max_requests).then_some(highest_count)
     }
 
-    /// The most requests in any span.
+    /// The highest number of requests in any window.
     pub fn max_window_requests(&self) -> usize {
         let mut moments: Vec<Timestamp> = self.sent.iter().map(|(sent_at, _)| *sent_at).collect();
         moments.sort_unstable();
@@ -226,33 +229,33 @@
         highest_count
     }
 
-    /// How many requests were sent.
+    /// Number of requests that were sent.
     pub fn sent(&self) -> usize {
         self.sent.len()
     }
 
-    /// How long requests waited to be sent, on average.
+    /// The mean time that requests waited to be sent.
     pub fn mean_wait(&self) -> Duration {
         let waits = self.sent.iter().map(|(sent_at, from)| sent_at.since(*from));
-        let count = u32::try_from(self.sent.len().max(1)).expect("few requests");
+        let count = u32::try_from(self.sent.len().max(1)).expect("fits into 32 bits");
         waits.sum::<Duration>() / count
     }
 
     fn rate(&self) -> QuotaRate {
         BOUND
             .authority_rate(self.per_second)
-            .expect("more than one request")
+            .expect("the limit allows a request")
     }
 
     fn turn_cold(&mut self, first: usize, removal: u8, entry: u8) {
         self.version += 2;
         let (entry_version, removal_version) = (self.version - 1, self.version);
         for (index, node) in self.nodes.iter_mut().enumerate() {
-            // Each node learns both at moments of its own.
-            let shift = u32::try_from(index.abs_diff(first)).expect("small");
+            // The updates reach each node at a different time.
+            let shift = u32::try_from(index.abs_diff(first)).expect("fits into 32 bits");
             let removal_at = self.now + TURN * (u32::from(removal) + shift);
             let entry_at = self.now + TURN * (u32::from(entry) + shift * 3);
-            // It was warm while it was evacuated.
+            // The server was last known as warm, during the evacuation.
             node.coldness = ColdState::default();
             node.entries_known_to = entry_version - 1;
             node.reopened_at = Some(u64::MAX);
@@ -379,7 +382,7 @@
             return;
         }
         if !known.coldness.is_cold(self.now) {
-            // The oracle counts these only if the server is cold in truth.
+            // The oracle counts these requests only if the server is actually cold.
             self.send_freely(node);
             return;
         }
@@ -413,7 +416,7 @@
         };
         let per_second = (rate.per_second + rate.burst) / f64::from(parts);
         let budget = Budget {
-            // Without messages, what is saved up comes off the rate and nothing else does.
+            // Without messages, only the accumulated permits are deducted from the rate.
             per_second: (per_second - 1.0).max(per_second / 2.0),
             capacity: 1.0,
             set_aside: 0.0,
@@ -524,7 +527,7 @@
     );
     let rate = BOUND
         .authority_rate(per_second)
-        .expect("more than one request");
+        .expect("the limit allows a request");
     Node {
         ledger: Ledger::default(),
         authority: Authority::new(ColdBound::AUTHORITY_BOUND, incarnation),
--- a/crates/spurpier-core/tests/evacuations.rs
+++ b/crates/spurpier-core/tests/evacuations.rs
@@ -1,4 +1,7 @@
-//! Evacuated zones: a state machine against an oracle that knows when each row was written.
+//! Evacuated zones: random sequences of writes, store reports and restarts are checked against an
+//! oracle that knows when each row was written. They guard against statements that reach a server
+//! of an evacuated zone after the operator's bound, and against zones that reopen too early after
+//! the store has lost their rows.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -22,7 +25,7 @@
     Timestamp::from_millis(millis)
 }
 
-/// A node that was told at 10 s that nothing is evacuated, and then that `a` is.
+/// A node to which the store reported no evacuated zone at 10 s, and then the evacuation of `a`.
 fn notified_of_a() -> Evacuations {
     let mut known = Evacuations::new(BOUND);
     known.apply(&zones(&[]), StoreVersion::from_bits(1), None);
@@ -65,7 +68,7 @@
     assert_eq!(
         known.reopened_at("a"),
         Some(StoreVersion::from_bits(1)),
-        "it may have been before"
+        "the zone may have been evacuated before the node started"
     );
     let changes = known.apply(&zones(&[]), StoreVersion::from_bits(9), Some(at(20_000)));
     assert_eq!(changes.reopened, ["a"]);
@@ -80,23 +83,24 @@
     assert_eq!(known.phase("a", at(33_500)), ZonePhase::Closed);
 }
 
-/// What happens next.
+/// A step of the model.
 #[derive(Debug, Clone)]
 enum Step {
-    /// Time passes; a long one is a node that stands still.
+    /// So many milliseconds pass. A long wait is a node that receives no reports.
     Wait(u64),
-    /// The operator writes or removes a row.
+    /// The operator writes or deletes a row.
     Write { zone: &'static str, is_there: bool },
-    /// The store tells, as it was so many milliseconds ago, and the answer takes so many more.
+    /// The store reports its rows as they were `lag` ms ago; the report takes `transit` ms to
+    /// arrive.
     Report { lag: u64, transit: u64 },
-    /// An answer arrives again.
+    /// A delivered report arrives again.
     Redeliver(usize),
-    /// The process starts anew.
+    /// The node's process restarts.
     Restart,
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let lag = u64::try_from(MAX_STORE_LAG.as_millis()).expect("short");
+    let lag = u64::try_from(MAX_STORE_LAG.as_millis()).expect("fits into 64 bits");
     let step = prop_oneof![
         4 => (1_u64..1_500).prop_map(Step::Wait),
         1 => (1_500_u64..20_000).prop_map(Step::Wait),
@@ -110,14 +114,14 @@
     prop::collection::vec(step, 1..60)
 }
 
-/// A state of the rows, and since when the store has it.
+/// The evacuated zones in the store, and when this state was written, in milliseconds.
 #[derive(Debug, Clone)]
 struct RowState {
     at: u64,
     zones: BTreeSet<String>,
 }
 
-/// What the store told: its version, when it told that, and when it arrives.
+/// A report of the store: its version, when it was sent, and when it arrives, in milliseconds.
 #[derive(Debug, Clone, Copy)]
 struct Report {
     version: usize,
@@ -125,14 +129,14 @@
     arrives_at: u64,
 }
 
-/// The store's rows over time, and a node that is told of them.
+/// The store's rows over time, and a node that receives reports of them.
 struct World {
     now: u64,
     history: Vec<RowState>,
     in_transit: Vec<Report>,
     delivered: Vec<Report>,
     node: Evacuations,
-    /// The version that the node knows, and up to when the store had told of it.
+    /// The version that the node knows, and when the store last reported it.
     known: Option<(usize, u64)>,
 }
 
@@ -184,13 +188,13 @@
         let as_of = self.now - lag;
         let version = self.history.iter().rposition(|written| written.at <= as_of);
         self.in_transit.push(Report {
-            version: version.expect("the first one is old"),
+            version: version.expect("the first state is older than any report"),
             reported_at: self.now,
             arrives_at: self.now + transit,
         });
     }
 
-    /// Time passes in small parts, in each of which the node may send.
+    /// Advances the time in steps of up to 50 ms. The node may send in each of them.
     fn wait(&mut self, millis: u64) {
         let end = self.now + millis;
         while self.now < end {
@@ -209,7 +213,7 @@
         }
     }
 
-    /// As a follower does: what is older than the known version is passed over.
+    /// Handles a report as a follower of the store does: ignores versions older than the known one.
     fn take(&mut self, report: Report) {
         if self
             .known
@@ -231,7 +235,8 @@
         self.known = Some((report.version, reported_at));
     }
 
-    /// The rule: what a node sends that knows of a row arrives no later than the bound after it.
+    /// Checks that a node that knows of an evacuation sends nothing that could arrive later than
+    /// the bound after the write of its row.
     fn check(&self) {
         let Some((known, _)) = self.known else {
             return;
@@ -241,14 +246,14 @@
                 assert_eq!(self.node.phase(zone, at(self.now)), ZonePhase::Open);
                 continue;
             };
-            let transit = u64::try_from(DELIVERY_MARGIN.as_millis()).expect("short");
+            let transit = u64::try_from(DELIVERY_MARGIN.as_millis()).expect("fits into 64 bits");
             let arrives_at = self.now + transit;
-            let bound = u64::try_from(BOUND.as_millis()).expect("short");
+            let bound = u64::try_from(BOUND.as_millis()).expect("fits into 64 bits");
             if arrives_at > written_at + bound {
                 assert_eq!(
                     self.node.phase(zone, at(self.now)),
                     ZonePhase::Closed,
-                    "{zone} was evacuated at {written_at}, and what leaves at {} arrives late",
+                    "{zone} was evacuated at {written_at}; a statement sent at {} arrives late",
                     self.now
                 );
             }
@@ -256,7 +261,7 @@
         }
     }
 
-    /// When the zone's row was written that stands in a version; none if it does not.
+    /// When the zone's row in a version was written; `None` if the version has no row of the zone.
     fn evacuated_since(&self, zone: &str, version: usize) -> Option<u64> {
         let states = self.history[..=version].iter().rev();
         let states = states.take_while(|written| written.zones.contains(zone));
@@ -274,7 +279,8 @@
     }
 }
 
-/// The zones that count as evacuated, of which `known` did before and the store tells `report`.
+/// The zones that count as evacuated when the store reports `reported`; `known` counted so before.
+/// Separated by spaces.
 fn evacuated(
     retained: &mut RetainedZones,
     known: &[&str],
@@ -282,7 +288,7 @@
     era: u64,
     now: Timestamp,
 ) -> String {
-    let era = StoreEra::new(era).expect("a small number");
+    let era = StoreEra::new(era).expect("a valid era");
     let known = known.iter().map(|zone| (*zone).to_owned());
     let evacuated = retained.with_retained(known, &zones(reported), era, now);
     evacuated.into_iter().collect::<Vec<_>>().join(" ")
@@ -302,7 +308,7 @@
         retained.retained_until(),
         Some(returned + REWRITE_GRACE_PERIOD)
     );
-    // Written again, and then taken away.
+    // The row is written again, and then deleted.
     assert_eq!(
         evacuated(&mut retained, &["a", "b"], &["b"], 2, at(3_000)),
         "b"
--- a/crates/spurpier-core/tests/places.rs
+++ b/crates/spurpier-core/tests/places.rs
@@ -1,4 +1,4 @@
-//! Where work may run.
+//! The regions that a route and a tenant allow.
 
 use spurpier_core::locality::AllowedRegions;
 
--- a/crates/spurpier-core/tests/primary_moves.rs
+++ b/crates/spurpier-core/tests/primary_moves.rs
@@ -1,4 +1,6 @@
-//! Moves of primaries by demand, against plain counts.
+//! Moves of a primary towards its demand, checked against plain counts of the units that each
+//! region allows. They guard against primaries that move too often, or for demand that does not
+//! justify the interruption.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,7 +14,7 @@
 use spurpier_core::time::Timestamp;
 
 const REGIONS: [&str; 3] = ["east", "north", "south"];
-/// How often demand is told and decided on.
+/// Interval between demand reports, and between decisions.
 const STEP: Duration = Duration::from_secs(1);
 const MINUTE: Duration = Duration::from_secs(60);
 
@@ -25,7 +27,7 @@
     RegionDemand { regions, units }
 }
 
-/// A group whose primary moves as soon as it is wanted elsewhere.
+/// A group whose primary moves at once to each target region.
 struct Group {
     recent_demand: DecayingDemand,
     planner: PrimaryMovePlanner,
@@ -54,7 +56,10 @@
             .planner
             .decide(recent_demand, current, &candidates, self.now);
         if let Some(region) = wanted {
-            assert_ne!(region, self.current, "it stands there");
+            assert_ne!(
+                region, self.current,
+                "the primary is already in this region"
+            );
             self.moves.push((self.now, region.clone()));
             self.current = region;
         }
@@ -189,7 +194,8 @@
         prop_assert!(pauses.iter().all(|pause| *pause >= MIN_MOVE_INTERVAL), "{pauses:?}");
     }
 
-    /// The oracle: what a region allows, counted plainly; steady demand keeps its shares as it fades.
+    /// The oracle counts the units that each region allows, without decay: the shares of steady
+    /// demand do not change as it decays.
     #[test]
     fn steady_demand_moves_a_primary_once_and_only_for_a_quarter_more(
         reported in any_report(),
--- a/crates/spurpier-core/tests/session.rs
+++ b/crates/spurpier-core/tests/session.rs
@@ -1,4 +1,4 @@
-//! Floors, position tokens and settings of a session.
+//! Read floors, position tokens and settings of a session.
 
 use std::collections::BTreeMap;
 
@@ -43,7 +43,7 @@
         prop_assert_eq!(parsed, Ok(token), "{}", text);
         Ok(())
     });
-    checked.expect("tokens survive");
+    checked.expect("tokens round-trip");
 }
 
 #[test]
