--- a/crates/spurpier-core/src/control/machine_list.rs
+++ b/crates/spurpier-core/src/control/machine_list.rs
@@ -16,26 +16,26 @@
 pub(super) struct MachineListSchedule {
     next: Timestamp,
     wait: Duration,
-    steady: Duration,
-    per_member: Duration,
+    min_interval: Duration,
+    interval_per_member: Duration,
     outstanding: bool,
 }
 
 impl MachineListSchedule {
-    /// The first read is due after a random part of `first`, so that seeds can serve before.
+    /// The first read is due after a random part of `max_initial_delay`, so that seeds can serve before.
     pub(super) fn new(
         now: Timestamp,
-        first: Duration,
-        steady: Duration,
-        per_member: Duration,
+        max_initial_delay: Duration,
+        min_interval: Duration,
+        interval_per_member: Duration,
         random: &mut SmallRng,
     ) -> Self {
-        let jitter = random.random_range(0..=first.as_micros() as u64);
+        let jitter = random.random_range(0..=max_initial_delay.as_micros() as u64);
         MachineListSchedule {
             next: now + Duration::from_micros(jitter),
-            wait: first,
-            steady,
-            per_member,
+            wait: max_initial_delay,
+            min_interval,
+            interval_per_member,
             outstanding: false,
         }
     }
@@ -46,7 +46,7 @@
     }
 
     /// Whether the list is to be read now; the caller then reads it.
-    pub(super) fn take(&mut self, now: Timestamp) -> bool {
+    pub(super) fn start_if_due(&mut self, now: Timestamp) -> bool {
         let due = !self.outstanding && self.next <= now;
         self.outstanding |= due;
         due
@@ -54,11 +54,11 @@
 
     /// Puts the next read off without reading.
     pub(super) fn postpone(&mut self, now: Timestamp, members: usize, random: &mut SmallRng) {
-        self.next = now + jitter(random, self.steady_wait(members));
+        self.next = now + jitter(random, self.interval(members));
     }
 
     /// Notes the end of a read.
-    pub(super) fn finished(
+    pub(super) fn record_result(
         &mut self,
         now: Timestamp,
         succeeded: bool,
@@ -66,18 +66,19 @@
         random: &mut SmallRng,
     ) {
         /// The longest wait after failures, in steady waits.
-        const LONGEST: u32 = 4;
+        const MAX_WAIT_FACTOR: u32 = 4;
         self.outstanding = false;
         self.wait = match succeeded {
-            true => self.steady_wait(members),
-            false => (self.wait * 2).min(self.steady * LONGEST),
+            true => self.interval(members),
+            false => (self.wait * 2).min(self.min_interval * MAX_WAIT_FACTOR),
         };
         self.next = now + jitter(random, self.wait);
     }
 
-    fn steady_wait(&self, members: usize) -> Duration {
+    fn interval(&self, members: usize) -> Duration {
         let members = u32::try_from(members).unwrap_or(u32::MAX);
-        self.steady.max(self.per_member.saturating_mul(members))
+        self.min_interval
+            .max(self.interval_per_member.saturating_mul(members))
     }
 }
 
--- a/crates/spurpier-core/src/control/node.rs
+++ b/crates/spurpier-core/src/control/node.rs
@@ -176,8 +176,8 @@
     pub fn handle(&mut self, now: Timestamp, event: ControlEvent) -> Vec<ControlAction> {
         match event {
             ControlEvent::Tick => self.tick(now),
-            ControlEvent::Received { from, message } => self.received(now, from, message),
-            ControlEvent::MachineListRead(answer) => self.machine_list_read(now, answer),
+            ControlEvent::Received { from, message } => self.handle_message(now, from, message),
+            ControlEvent::MachineListRead(answer) => self.handle_machine_list(now, answer),
             ControlEvent::HeadRead(answer) => {
                 self.drive_distribution(now, SpreadEvent::HeadRead(answer))
             }
@@ -231,25 +231,25 @@
                 let members = self.membership.members().len();
                 self.machine_list.postpone(now, members, &mut self.random);
             }
-        } else if self.machine_list.take(now) {
+        } else if self.machine_list.start_if_due(now) {
             self.actions.push(ControlAction::ReadMachineList);
         }
     }
 
-    fn machine_list_read(
+    fn handle_machine_list(
         &mut self,
         now: Timestamp,
         answer: Result<Vec<ListedMachine>, ReadFailure>,
     ) {
         let members = self.membership.members().len();
         self.machine_list
-            .finished(now, answer.is_ok(), members, &mut self.random);
+            .record_result(now, answer.is_ok(), members, &mut self.random);
         if let Ok(machines) = answer {
             self.drive_membership(now, MembershipEvent::MachineList(machines));
         }
     }
 
-    fn received(&mut self, now: Timestamp, from: Option<SocketAddr>, message: GossipMessage) {
+    fn handle_message(&mut self, now: Timestamp, from: Option<SocketAddr>, message: GossipMessage) {
         let GossipMessage {
             sender,
             version,
@@ -288,7 +288,7 @@
                     self.send(to, GossipBody::Membership(message));
                 }
                 MembershipAction::MemberChanged(change) => {
-                    changed |= self.concerns_watchers(&change);
+                    changed |= self.affects_watchers(&change);
                     self.actions.push(ControlAction::MemberChanged(change));
                 }
                 MembershipAction::SuspicionRaised(key) => {
@@ -350,7 +350,7 @@
     }
 
     /// Whether a change can make or unmake a watcher of the own zone.
-    fn concerns_watchers(&self, change: &MemberChange) -> bool {
+    fn affects_watchers(&self, change: &MemberChange) -> bool {
         let own_zone = &self.membership.identity().zone;
         match change {
             MemberChange::Joined(identity) | MemberChange::Gone { identity, .. } => {
@@ -371,7 +371,7 @@
         let own = self.membership.identity().clone();
         let own_score = rendezvous_score(self.zone_digest, own.key());
         let leaving = self.membership.state().status.is_leaving();
-        let better = self
+        let higher_ranked = self
             .membership
             .members()
             .iter()
@@ -380,7 +380,7 @@
             .filter(|member| rendezvous_score(self.zone_digest, member.identity.key()) > own_score)
             .take(self.watchers_per_zone)
             .count();
-        self.watching = !leaving && better < self.watchers_per_zone;
+        self.watching = !leaving && higher_ranked < self.watchers_per_zone;
         let event = SpreadEvent::Watching(self.watching);
         self.drive_distribution(now, event);
     }
--- a/crates/spurpier-core/src/membership/detection.rs
+++ b/crates/spurpier-core/src/membership/detection.rs
@@ -5,14 +5,14 @@
 use rand::RngExt;
 use rand::rngs::SmallRng;
 
+use super::config::MembershipConfig;
 use super::identity::NodeKey;
-use super::settings::MembershipConfig;
 use super::table::{MemberTable, Slot};
 use super::zones::ZoneDistance;
 use crate::time::Timestamp;
 
 /// The worst value of the local health score; timeouts grow by one with each step.
-const WORST_HEALTH: u32 = 8;
+const MAX_HEALTH_SCORE: u32 = 8;
 
 /// A probe that has not been answered.
 #[derive(Debug, Clone)]
@@ -26,12 +26,12 @@
     /// Whether others were asked to probe too.
     pub(super) indirect_sent: bool,
     /// Who asked for it and under which number, when it is made in another node's place.
-    pub(super) asked_by: Option<(NodeKey, u32)>,
+    pub(super) requested_by: Option<(NodeKey, u32)>,
 }
 
 /// A failed probe that nothing has yet shown to be the member's own fault.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct UnprovenFailure {
+pub(super) struct UnconfirmedFailure {
     /// The node probed.
     pub(super) target: NodeKey,
     /// When the probe left.
@@ -66,15 +66,15 @@
     pub(super) rotations: [Rotation; 3],
     pub(super) next_probe: [Timestamp; 3],
     pub(super) pending: Vec<PendingProbe>,
-    pub(super) unproven: Vec<UnprovenFailure>,
+    pub(super) unconfirmed: Vec<UnconfirmedFailure>,
     pub(super) suspicions: Vec<Suspicion>,
-    pub(super) last_number: u32,
+    pub(super) last_probe_number: u32,
     /// 0 is healthy; each step makes this node more patient with others.
-    pub(super) health: u32,
+    pub(super) health_score: u32,
 }
 
 /// The time between two probes at this distance.
-pub(super) fn interval(config: &MembershipConfig, distance: ZoneDistance) -> Duration {
+pub(super) fn probe_interval(config: &MembershipConfig, distance: ZoneDistance) -> Duration {
     match distance {
         ZoneDistance::OwnZone => config.own_zone_probe_interval,
         ZoneDistance::OwnRegion => config.own_region_probe_interval,
@@ -86,26 +86,26 @@
     /// No probes yet; the first of each distance leaves at a random moment of its interval.
     pub(super) fn new(config: &MembershipConfig, random: &mut SmallRng) -> Self {
         let next_probe = ZoneDistance::ALL.map(|distance| {
-            let micros = interval(config, distance).as_micros() as u64;
+            let micros = probe_interval(config, distance).as_micros() as u64;
             Timestamp::from_micros(random.random_range(0..=micros))
         });
         Detection {
             rotations: Default::default(),
             next_probe,
             pending: Vec::new(),
-            unproven: Vec::new(),
+            unconfirmed: Vec::new(),
             suspicions: Vec::new(),
-            last_number: 0,
-            health: 0,
+            last_probe_number: 0,
+            health_score: 0,
         }
     }
 
     /// Drops every observation that a pause of this node has made worthless.
     pub(super) fn restart(&mut self, now: Timestamp, config: &MembershipConfig) {
-        self.health = WORST_HEALTH;
+        self.health_score = MAX_HEALTH_SCORE;
         self.pending.clear();
-        self.unproven.clear();
-        let deadline = now + config.suspicion_timeout * (WORST_HEALTH + 1);
+        self.unconfirmed.clear();
+        let deadline = now + config.suspicion_timeout * (MAX_HEALTH_SCORE + 1);
         for suspicion in &mut self.suspicions {
             suspicion.deadline = deadline;
         }
@@ -122,11 +122,11 @@
             .filter(|distance| has_members(table, **distance))
             .map(|distance| self.next_probe[distance.index()]);
         let pending = self.pending.iter().map(|probe| {
-            let wait = match probe.indirect_sent || probe.asked_by.is_some() {
+            let wait = match probe.indirect_sent || probe.requested_by.is_some() {
                 true => config.probe_timeout,
                 false => config.direct_probe_timeout,
             };
-            probe.sent_at + self.patient(wait)
+            probe.sent_at + self.scaled_timeout(wait)
         });
         let suspicions = self.suspicions.iter().map(|suspicion| suspicion.deadline);
         probes
@@ -145,23 +145,23 @@
             .sum();
         slots * size_of::<Slot>()
             + self.pending.capacity() * size_of::<PendingProbe>()
-            + self.unproven.capacity() * size_of::<UnprovenFailure>()
+            + self.unconfirmed.capacity() * size_of::<UnconfirmedFailure>()
             + self.suspicions.capacity() * size_of::<Suspicion>()
     }
 
     /// A timeout stretched by the local health score.
-    pub(super) fn patient(&self, timeout: Duration) -> Duration {
-        timeout * (1 + self.health)
+    pub(super) fn scaled_timeout(&self, timeout: Duration) -> Duration {
+        timeout * (1 + self.health_score)
     }
 
     /// Notes a failed probe: the fault may be this node's own.
-    pub(super) fn worsen(&mut self) {
-        self.health = (self.health + 1).min(WORST_HEALTH);
+    pub(super) fn record_failure(&mut self) {
+        self.health_score = (self.health_score + 1).min(MAX_HEALTH_SCORE);
     }
 
     /// Notes an answered probe.
-    pub(super) fn improve(&mut self) {
-        self.health = self.health.saturating_sub(1);
+    pub(super) fn record_success(&mut self) {
+        self.health_score = self.health_score.saturating_sub(1);
     }
 }
 
--- a/crates/spurpier-core/src/membership/dissemination.rs
+++ b/crates/spurpier-core/src/membership/dissemination.rs
@@ -43,13 +43,13 @@
     /// Takes statements of at most `budget` bytes; each is given out `send_limit` times in all.
     pub(super) fn take(&mut self, budget: usize, send_limit: usize) -> Vec<MemberUpdate> {
         let mut taken = Vec::new();
-        let left = take_from(&mut self.short, budget, send_limit, &mut taken);
-        take_from(&mut self.joins, left, send_limit, &mut taken);
+        let remaining = take_from(&mut self.short, budget, send_limit, &mut taken);
+        take_from(&mut self.joins, remaining, send_limit, &mut taken);
         taken
     }
 
     /// How many short statements wait.
-    pub(super) fn short_statements(&self) -> usize {
+    pub(super) fn short_update_count(&self) -> usize {
         self.short.len()
     }
 
@@ -67,17 +67,17 @@
     send_limit: usize,
     taken: &mut Vec<MemberUpdate>,
 ) -> usize {
-    let mut left = budget;
+    let mut remaining = budget;
     for _ in 0..queue.len() {
-        let Some(mut queued) = queue.pop_front_if(|queued| queued.bytes <= left) else {
+        let Some(mut queued) = queue.pop_front_if(|queued| queued.bytes <= remaining) else {
             break;
         };
-        left -= queued.bytes;
+        remaining -= queued.bytes;
         queued.sends += 1;
         taken.push(queued.update.clone());
         if queued.sends < send_limit {
             queue.push_back(queued);
         }
     }
-    left
+    remaining
 }
--- a/crates/spurpier-core/src/membership/identity.rs
+++ b/crates/spurpier-core/src/membership/identity.rs
@@ -62,10 +62,10 @@
     /// The bytes that this value holds in a real node: itself and its texts with their headers.
     pub fn memory_bytes(&self) -> usize {
         /// The reference counts in front of a shared value.
-        const COUNTS: usize = 2 * size_of::<usize>();
+        const REFERENCE_COUNT_BYTES: usize = 2 * size_of::<usize>();
         let texts =
             self.name.as_str().len() + self.zone.as_str().len() + self.region.as_str().len();
-        COUNTS + size_of::<Self>() + 3 * COUNTS + texts
+        REFERENCE_COUNT_BYTES + size_of::<Self>() + 3 * REFERENCE_COUNT_BYTES + texts
     }
 }
 
--- a/crates/spurpier-core/src/membership/joining.rs
+++ b/crates/spurpier-core/src/membership/joining.rs
@@ -66,13 +66,13 @@
             })
             .collect();
         states.push(self.own_update());
-        states.extend(self.departed_statement(update.key));
+        states.extend(self.departed_update(update.key));
         let message = MembershipMessage::FullView(List(states));
         self.send(Destination::stream(&identity), message);
     }
 
     /// What a joining node must hear if an earlier life of its name counts as departed.
-    fn departed_statement(&self, key: NodeKey) -> Option<MemberUpdate> {
+    fn departed_update(&self, key: NodeKey) -> Option<MemberUpdate> {
         let state = self.table.departed(key)?;
         Some(MemberUpdate {
             key,
@@ -81,17 +81,17 @@
         })
     }
 
-    pub(super) fn view_received(&mut self, now: Timestamp, updates: &[MemberUpdate]) {
+    pub(super) fn handle_full_view(&mut self, now: Timestamp, updates: &[MemberUpdate]) {
         let was_joined = self.join.finished;
         for update in updates {
             self.merge(now, None, std::slice::from_ref(update));
         }
         self.join.finished = true;
         if !was_joined {
-            self.sync.hurry(now);
+            self.sync.allow_quick_syncs(now);
             // The statements of the view are known to the others already.
             self.queue = DisseminationQueue::default();
-            self.spread_own_state(Some(self.identity.clone()));
+            self.disseminate_own_state(Some(self.identity.clone()));
         }
     }
 
--- a/crates/spurpier-core/src/membership/machine.rs
+++ b/crates/spurpier-core/src/membership/machine.rs
@@ -8,13 +8,13 @@
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
 
+use super::config::MembershipConfig;
 use super::detection::Detection;
 use super::dissemination::DisseminationQueue;
 use super::event::{Destination, MembershipAction, MembershipEvent};
 use super::identity::{MemberIdentity, NodeKey};
 use super::joining::JoinProgress;
 use super::message::{MemberUpdate, MembershipMessage};
-use super::settings::MembershipConfig;
 use super::status::{MemberState, MemberStatus};
 use super::sync::SyncProgress;
 use super::table::{MemberTable, MemberView};
@@ -93,15 +93,15 @@
 
     /// Takes an event at time `now` and gives what is to be done.
     pub fn handle(&mut self, now: Timestamp, event: MembershipEvent) -> Vec<MembershipAction> {
-        self.notice_freeze(now);
+        self.detect_freeze(now);
         match event {
             MembershipEvent::Tick => {}
             MembershipEvent::Received {
                 sender,
                 from,
                 message,
-            } => self.received(now, sender, from, message),
-            MembershipEvent::MachineList(machines) => self.machines_listed(now, &machines),
+            } => self.handle_message(now, sender, from, message),
+            MembershipEvent::MachineList(machines) => self.handle_machine_list(now, &machines),
             MembershipEvent::Leave => self.announce(MemberStatus::Leaving),
             MembershipEvent::Stop => self.announce(MemberStatus::Left),
         }
@@ -185,19 +185,19 @@
         accept: impl Fn(&MemberTable, &super::table::Member) -> bool,
     ) {
         /// Random places looked at for each member wanted.
-        const TRIES_EACH: usize = 24;
+        const TRIES_PER_MEMBER: usize = 24;
         let slots = self.table.slot_count();
         let wanted = picked.len() + count;
         if slots == 0 {
             return;
         }
-        if slots <= count * TRIES_EACH {
+        if slots <= count * TRIES_PER_MEMBER {
             let mut order: Vec<usize> = (0..slots).collect();
             order.shuffle(&mut self.random);
             self.pick_from(order.into_iter(), wanted, picked, &accept);
             return;
         }
-        let tries: Vec<usize> = (0..count * TRIES_EACH)
+        let tries: Vec<usize> = (0..count * TRIES_PER_MEMBER)
             .map(|_| self.random.random_range(0..slots))
             .collect();
         self.pick_from(tries.into_iter(), wanted, picked, &accept);
@@ -241,11 +241,11 @@
             return;
         }
         self.state.status = status;
-        self.spread_own_state(None);
+        self.disseminate_own_state(None);
     }
 
     /// Passes the own state on, with the identity for those that may not know it.
-    pub(super) fn spread_own_state(&mut self, identity: Option<Arc<MemberIdentity>>) {
+    pub(super) fn disseminate_own_state(&mut self, identity: Option<Arc<MemberIdentity>>) {
         let update = MemberUpdate {
             identity,
             ..self.own_update()
@@ -269,13 +269,13 @@
     }
 
     /// After a pause in which this node did not run, its own old observations mean nothing.
-    fn notice_freeze(&mut self, now: Timestamp) {
+    fn detect_freeze(&mut self, now: Timestamp) {
         let paused = self
             .last_event
             .is_some_and(|last| now.since(last) >= self.config.freeze_threshold);
         if paused && !self.table.is_empty() {
             self.detection.restart(now, &self.config);
-            self.sync.hurry(now);
+            self.sync.allow_quick_syncs(now);
         }
         self.last_event = Some(now);
     }
--- a/crates/spurpier-core/src/membership/listing.rs
+++ b/crates/spurpier-core/src/membership/machine_list.rs
@@ -13,7 +13,7 @@
 
 impl Membership {
     /// Uses the platform's list: as seeds, and to drop silent members that it lacks.
-    pub(super) fn machines_listed(&mut self, now: Timestamp, machines: &[ListedMachine]) {
+    pub(super) fn handle_machine_list(&mut self, now: Timestamp, machines: &[ListedMachine]) {
         let others: Vec<&ListedMachine> = machines
             .iter()
             .filter(|machine| machine.name != self.identity.name)
@@ -26,12 +26,12 @@
         );
         self.join.seeds.sort_unstable();
         self.join.seeds.dedup();
-        self.greet_unknown(&others);
-        self.drop_unlisted(now, &others);
+        self.join_through_unknown(&others);
+        self.remove_unlisted(now, &others);
     }
 
     /// Joins by one listed node that is in nobody's view here: it may belong to a separate part.
-    fn greet_unknown(&mut self, machines: &[&ListedMachine]) {
+    fn join_through_unknown(&mut self, machines: &[&ListedMachine]) {
         let unknown: Vec<SocketAddr> = machines
             .iter()
             .filter(|machine| {
@@ -48,7 +48,7 @@
     }
 
     /// Drops silent members that the lists have lacked for longer than they can lag.
-    fn drop_unlisted(&mut self, now: Timestamp, machines: &[&ListedMachine]) {
+    fn remove_unlisted(&mut self, now: Timestamp, machines: &[&ListedMachine]) {
         if machines.is_empty() {
             return;
         }
@@ -63,10 +63,10 @@
             .raw_members()
             .filter(|member| self.is_silent(now, member))
             .filter(|member| listed.binary_search(&member.key).is_err())
-            .map(|member| (member.key, first_lacked(&known, member.key).unwrap_or(now)))
+            .map(|member| (member.key, first_absent(&known, member.key).unwrap_or(now)))
             .collect();
-        for (key, lacked_since) in &unlisted {
-            if now.since(*lacked_since) >= self.config.unlisted_min_absence {
+        for (key, absent_since) in &unlisted {
+            if now.since(*absent_since) >= self.config.unlisted_min_absence {
                 self.declare_dead(now, *key);
             }
         }
@@ -90,7 +90,7 @@
 }
 
 /// Since when the lists have lacked a member; the entries are sorted by key.
-fn first_lacked(entries: &[(NodeKey, Timestamp)], key: NodeKey) -> Option<Timestamp> {
+fn first_absent(entries: &[(NodeKey, Timestamp)], key: NodeKey) -> Option<Timestamp> {
     let index = entries.binary_search_by_key(&key, |entry| entry.0).ok()?;
     Some(entries[index].1)
 }
--- a/crates/spurpier-core/src/membership/merge.rs
+++ b/crates/spurpier-core/src/membership/merge.rs
@@ -11,7 +11,7 @@
 use crate::wire::List;
 
 /// Identities asked for at most in one message.
-const IDENTITIES_AT_ONCE: usize = 64;
+const MAX_IDENTITIES_PER_REQUEST: usize = 64;
 
 impl Membership {
     /// Takes in statements from a peer, and asks it for the identities that are missing.
@@ -23,25 +23,25 @@
     ) {
         let mut unknown = Vec::new();
         for update in updates {
-            let known = self.merge_one(now, update);
-            if !known && unknown.len() < IDENTITIES_AT_ONCE {
+            let known = self.merge_update(now, update);
+            if !known && unknown.len() < MAX_IDENTITIES_PER_REQUEST {
                 unknown.push(update.key);
             }
         }
         if unknown.is_empty() {
             return;
         }
-        let asked = sender.and_then(|key| self.table.find(key));
-        if let Some(member) = asked {
+        let peer = sender.and_then(|key| self.table.find(key));
+        if let Some(member) = peer {
             let to = Destination::datagram(&member.identity);
             self.send(to, MembershipMessage::IdentityRequest(List(unknown)));
         }
     }
 
     /// Takes in one statement; false when it is about a living node without known identity.
-    fn merge_one(&mut self, now: Timestamp, update: &MemberUpdate) -> bool {
+    fn merge_update(&mut self, now: Timestamp, update: &MemberUpdate) -> bool {
         if update.key == self.key {
-            self.answer_statement_about_self(update.state);
+            self.refute_if_newer(update.state);
             return true;
         }
         if let Some(identity) = &update.identity
@@ -53,10 +53,10 @@
             self.apply_state(now, update.key, update.state, update.identity.as_ref());
             return true;
         }
-        self.merge_unknown(now, update)
+        self.merge_unknown_member(now, update)
     }
 
-    fn merge_unknown(&mut self, now: Timestamp, update: &MemberUpdate) -> bool {
+    fn merge_unknown_member(&mut self, now: Timestamp, update: &MemberUpdate) -> bool {
         let departed = self.table.departed(update.key);
         if departed.is_some_and(|state| state >= update.state) {
             return true;
@@ -141,31 +141,31 @@
     }
 
     /// Refutes a suspicion or a death of this living node with a higher incarnation.
-    fn answer_statement_about_self(&mut self, said: MemberState) {
+    fn refute_if_newer(&mut self, reported: MemberState) {
         let stopped = self.state.status == MemberStatus::Left;
-        if stopped || said <= self.state {
+        if stopped || reported <= self.state {
             return;
         }
-        self.state.incarnation = said.incarnation.saturating_add(1);
+        self.state.incarnation = reported.incarnation.saturating_add(1);
         // Who removed this node has forgotten its identity; who suspects it knows it still.
-        let identity = said.status.is_gone().then(|| self.identity.clone());
-        self.spread_own_state(identity);
+        let identity = reported.status.is_gone().then(|| self.identity.clone());
+        self.disseminate_own_state(identity);
     }
 
     /// Statements to put into a message for this peer: first what it must know of itself.
     pub(super) fn updates_for(&mut self, peer: NodeKey) -> Vec<MemberUpdate> {
-        let doubt = self.doubt_about(peer);
-        let send_limit = self.config.retransmit_factor * self.doublings() as usize;
+        let adverse = self.adverse_update_about(peer);
+        let send_limit = self.config.retransmit_factor * self.cluster_doublings() as usize;
         let mut updates = self.queue.take(self.config.max_update_bytes, send_limit);
-        if let Some(doubt) = doubt {
+        if let Some(adverse) = adverse {
             updates.retain(|update| update.key != peer);
-            updates.push(doubt);
+            updates.push(adverse);
         }
         updates
     }
 
     /// What a peer must hear of itself: that it is suspected here or counts as departed.
-    fn doubt_about(&self, peer: NodeKey) -> Option<MemberUpdate> {
+    fn adverse_update_about(&self, peer: NodeKey) -> Option<MemberUpdate> {
         let suspected = self
             .table
             .find(peer)
--- a/crates/spurpier-core/src/membership/probing.rs
+++ b/crates/spurpier-core/src/membership/probing.rs
@@ -5,7 +5,7 @@
 use rand::RngExt;
 use rand::seq::SliceRandom;
 
-use super::detection::{PendingProbe, Rotation, UnprovenFailure, has_members, interval};
+use super::detection::{PendingProbe, Rotation, UnconfirmedFailure, has_members, probe_interval};
 use super::event::Destination;
 use super::identity::{MemberIdentity, NodeKey};
 use super::machine::Membership;
@@ -25,8 +25,8 @@
         let rotation = &mut self.detection.rotations[distance.index()];
         rotation.slots.push(slot);
         let last = rotation.slots.len() - 1;
-        let place = self.random.random_range(rotation.next.min(last)..=last);
-        rotation.slots.swap(place, last);
+        let position = self.random.random_range(rotation.next.min(last)..=last);
+        rotation.slots.swap(position, last);
     }
 
     /// Sends the probes that are due.
@@ -36,7 +36,7 @@
             if !due || !has_members(&self.table, distance) {
                 continue;
             }
-            let wait = interval(&self.config, distance);
+            let wait = probe_interval(&self.config, distance);
             self.detection.next_probe[distance.index()] = now + self.jittered(wait);
             if let Some(target) = self.next_target(distance) {
                 self.probe(now, &target, None);
@@ -45,10 +45,10 @@
     }
 
     /// Probes a node in another node's place.
-    pub(super) fn probe_for(
+    pub(super) fn probe_on_behalf(
         &mut self,
         now: Timestamp,
-        asker: NodeKey,
+        requester: NodeKey,
         number: u32,
         target: NodeKey,
     ) {
@@ -56,11 +56,11 @@
             return;
         };
         let identity = member.identity.clone();
-        self.probe(now, &identity, Some((asker, number)));
+        self.probe(now, &identity, Some((requester, number)));
     }
 
     /// Notes that a member answered the probe with this number.
-    pub(super) fn probe_answered(&mut self, now: Timestamp, sender: NodeKey, number: u32) {
+    pub(super) fn record_probe_answer(&mut self, now: Timestamp, sender: NodeKey, number: u32) {
         let found = self
             .detection
             .pending
@@ -68,14 +68,14 @@
             .position(|probe| probe.number == number && probe.target == sender);
         if let Some(index) = found {
             let probe = self.detection.pending.swap_remove(index);
-            self.detection.improve();
-            self.report_to_asker(&probe);
-            self.member_answered(now, sender);
+            self.detection.record_success();
+            self.report_to_requester(&probe);
+            self.record_member_answer(now, sender);
         }
     }
 
     /// Notes that another node got an answer from the target of an own probe.
-    pub(super) fn target_answered_elsewhere(&mut self, number: u32, target: NodeKey) {
+    pub(super) fn record_indirect_answer(&mut self, number: u32, target: NodeKey) {
         self.detection
             .pending
             .retain(|probe| probe.number != number || probe.target != target);
@@ -83,8 +83,10 @@
 
     /// Asks others where a direct probe is late, and gives up on probes that took too long.
     pub(super) fn expire_probes(&mut self, now: Timestamp) {
-        let direct = self.detection.patient(self.config.direct_probe_timeout);
-        let total = self.detection.patient(self.config.probe_timeout);
+        let direct = self
+            .detection
+            .scaled_timeout(self.config.direct_probe_timeout);
+        let total = self.detection.scaled_timeout(self.config.probe_timeout);
         let mut pending = std::mem::take(&mut self.detection.pending);
         let mut late = Vec::new();
         let mut failed = Vec::new();
@@ -94,7 +96,7 @@
                 failed.push(probe.clone());
                 return false;
             }
-            if waited >= direct && !probe.indirect_sent && probe.asked_by.is_none() {
+            if waited >= direct && !probe.indirect_sent && probe.requested_by.is_none() {
                 probe.indirect_sent = true;
                 late.push((probe.number, probe.target));
             }
@@ -102,26 +104,26 @@
         });
         self.detection.pending = pending;
         for (number, target) in late {
-            self.ask_others(number, target);
+            self.request_indirect_probes(number, target);
         }
         for probe in failed {
-            self.probe_failed(&probe);
+            self.record_probe_failure(&probe);
         }
     }
 
-    fn probe_failed(&mut self, probe: &PendingProbe) {
-        if probe.asked_by.is_some() {
+    fn record_probe_failure(&mut self, probe: &PendingProbe) {
+        if probe.requested_by.is_some() {
             return;
         }
-        self.detection.worsen();
+        self.detection.record_failure();
         let Some(zone) = self.table.zone_of_mut(probe.target) else {
             return;
         };
-        zone.failed();
-        let watched =
+        zone.record_failure();
+        let is_watched =
             zone.distance == ZoneDistance::OwnZone || zone.members < self.config.small_zone_size;
-        if watched {
-            self.detection.unproven.push(UnprovenFailure {
+        if is_watched {
+            self.detection.unconfirmed.push(UnconfirmedFailure {
                 target: probe.target,
                 sent_at: probe.sent_at,
             });
@@ -129,13 +131,13 @@
     }
 
     /// Asks a few nodes of the target's zone, and one of another zone, to probe the target.
-    fn ask_others(&mut self, number: u32, target: NodeKey) {
+    fn request_indirect_probes(&mut self, number: u32, target: NodeKey) {
         let Some(zone) = self.table.find(target).map(|member| member.zone) else {
             return;
         };
-        let near = self.config.indirect_probe_count.saturating_sub(1);
+        let same_zone_count = self.config.indirect_probe_count.saturating_sub(1);
         let mut helpers = Vec::new();
-        self.pick_members(near, &mut helpers, |_, member| {
+        self.pick_members(same_zone_count, &mut helpers, |_, member| {
             member.zone == zone && member.key != target
         });
         self.pick_members(1, &mut helpers, |table, member| {
@@ -147,11 +149,11 @@
         }
     }
 
-    fn report_to_asker(&mut self, probe: &PendingProbe) {
-        let Some((asker, number)) = probe.asked_by else {
+    fn report_to_requester(&mut self, probe: &PendingProbe) {
+        let Some((requester, number)) = probe.requested_by else {
             return;
         };
-        let Some(member) = self.table.find(asker) else {
+        let Some(member) = self.table.find(requester) else {
             return;
         };
         let to = Destination::datagram(&member.identity);
@@ -163,17 +165,17 @@
         &mut self,
         now: Timestamp,
         target: &Arc<MemberIdentity>,
-        asked_by: Option<(NodeKey, u32)>,
+        requested_by: Option<(NodeKey, u32)>,
     ) {
-        self.detection.last_number = self.detection.last_number.wrapping_add(1);
-        let number = self.detection.last_number;
+        self.detection.last_probe_number = self.detection.last_probe_number.wrapping_add(1);
+        let number = self.detection.last_probe_number;
         let key = target.key();
         self.detection.pending.push(PendingProbe {
             number,
             target: key,
             sent_at: now,
             indirect_sent: false,
-            asked_by,
+            requested_by,
         });
         let message = MembershipMessage::Probe {
             number,
@@ -186,10 +188,10 @@
     /// The next member to probe at this distance, in an order shuffled anew for each round.
     fn next_target(&mut self, distance: ZoneDistance) -> Option<Arc<MemberIdentity>> {
         let mut rotation = std::mem::take(&mut self.detection.rotations[distance.index()]);
-        let mut target = advance(&mut rotation, &self.table, distance);
+        let mut target = next_in_rotation(&mut rotation, &self.table, distance);
         if target.is_none() {
             self.refill(&mut rotation, distance);
-            target = advance(&mut rotation, &self.table, distance);
+            target = next_in_rotation(&mut rotation, &self.table, distance);
         }
         self.detection.rotations[distance.index()] = rotation;
         target
@@ -202,18 +204,18 @@
         let table = &self.table;
         rotation
             .slots
-            .extend(slots.filter(|slot| is_at(table, *slot, distance)));
+            .extend(slots.filter(|slot| is_at_distance(table, *slot, distance)));
         rotation.slots.shuffle(&mut self.random);
     }
 }
 
-fn is_at(table: &MemberTable, slot: Slot, distance: ZoneDistance) -> bool {
+fn is_at_distance(table: &MemberTable, slot: Slot, distance: ZoneDistance) -> bool {
     table
         .at(slot)
         .is_some_and(|member| table.zone_of(member).distance == distance)
 }
 
-fn advance(
+fn next_in_rotation(
     rotation: &mut Rotation,
     table: &MemberTable,
     distance: ZoneDistance,
--- a/crates/spurpier-core/src/membership/receive.rs
+++ b/crates/spurpier-core/src/membership/receive.rs
@@ -12,7 +12,7 @@
 
 impl Membership {
     /// Takes in a message.
-    pub(super) fn received(
+    pub(super) fn handle_message(
         &mut self,
         now: Timestamp,
         sender: NodeKey,
@@ -22,7 +22,7 @@
         if self.state.status == MemberStatus::Left || sender == self.key {
             return;
         }
-        self.life_sign(sender);
+        self.record_contact(sender);
         match message {
             MembershipMessage::Probe {
                 number,
@@ -38,28 +38,28 @@
                 view_digest,
                 updates,
             } => {
-                self.probe_answered(now, sender, number);
+                self.record_probe_answer(now, sender, number);
                 self.merge(now, Some(sender), &updates.0);
                 self.compare_views(now, sender, view_digest);
             }
             MembershipMessage::IndirectProbe { number, target } => {
-                self.probe_for(now, sender, number, target);
+                self.probe_on_behalf(now, sender, number, target);
             }
             MembershipMessage::IndirectAck { number, target } => {
-                self.target_answered_elsewhere(number, target);
+                self.record_indirect_answer(number, target);
             }
             MembershipMessage::Updates(updates) => self.merge(now, Some(sender), &updates.0),
             MembershipMessage::Join(update) => self.admit(now, update),
-            MembershipMessage::FullView(updates) => self.view_received(now, &updates.0),
-            MembershipMessage::IdentityRequest(keys) => self.give_identities(sender, from, &keys.0),
+            MembershipMessage::FullView(updates) => self.handle_full_view(now, &updates.0),
+            MembershipMessage::IdentityRequest(keys) => self.send_identities(sender, from, &keys.0),
             MembershipMessage::BucketDigests(digests) => {
-                self.give_differing_parts(sender, &digests.0)
+                self.send_differing_buckets(sender, &digests.0)
             }
             MembershipMessage::BucketStates {
                 buckets,
                 states,
                 reply_requested,
-            } => self.parts_received(now, sender, &buckets.0, &states.0, reply_requested),
+            } => self.handle_bucket_states(now, sender, &buckets.0, &states.0, reply_requested),
         }
     }
 
--- a/crates/spurpier-core/src/membership/suspicion.rs
+++ b/crates/spurpier-core/src/membership/suspicion.rs
@@ -11,40 +11,40 @@
 use crate::time::Timestamp;
 
 /// How long a failed probe waits for proof that the member's zone answers others.
-const PROOF_WAIT: Duration = Duration::from_secs(20);
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(20);
 
 impl Membership {
     /// Notes that a member lives, though not that it can be reached: its path here may be one-way.
-    pub(super) fn life_sign(&mut self, sender: NodeKey) {
+    pub(super) fn record_contact(&mut self, sender: NodeKey) {
         self.detection
-            .unproven
+            .unconfirmed
             .retain(|failure| failure.target != sender);
     }
 
     /// Notes that a member answered a probe: its zone can be reached.
-    pub(super) fn member_answered(&mut self, now: Timestamp, sender: NodeKey) {
+    pub(super) fn record_member_answer(&mut self, now: Timestamp, sender: NodeKey) {
         let Some(zone) = self.table.zone_of_mut(sender) else {
             return;
         };
-        zone.answered(now);
-        self.suspect_proven(now, sender);
+        zone.record_answer(now);
+        self.suspect_confirmed(now, sender);
     }
 
     /// Turns failed probes into suspicions where an answer shows that only the target is silent.
-    fn suspect_proven(&mut self, now: Timestamp, answered: NodeKey) {
-        if self.detection.unproven.is_empty() {
+    fn suspect_confirmed(&mut self, now: Timestamp, answered: NodeKey) {
+        if self.detection.unconfirmed.is_empty() {
             return;
         }
-        let mut proven = Vec::new();
+        let mut confirmed = Vec::new();
         let table = &self.table;
-        self.detection.unproven.retain(|failure| {
-            let is_proven = is_proof(table, answered, failure.target);
-            if is_proven {
-                proven.push(failure.target);
+        self.detection.unconfirmed.retain(|failure| {
+            let is_confirmed = confirms_failure(table, answered, failure.target);
+            if is_confirmed {
+                confirmed.push(failure.target);
             }
-            !is_proven && now.since(failure.sent_at) < PROOF_WAIT
+            !is_confirmed && now.since(failure.sent_at) < CONFIRMATION_TIMEOUT
         });
-        for target in proven {
+        for target in confirmed {
             self.suspect(now, target);
         }
     }
@@ -63,15 +63,15 @@
     }
 
     /// How often the cluster has doubled from one node to its present size, rounded up.
-    pub(super) fn doublings(&self) -> u32 {
+    pub(super) fn cluster_doublings(&self) -> u32 {
         let nodes = self.table.len() + 1;
         usize::BITS - nodes.leading_zeros()
     }
 
     /// How long a suspected node of the own zone has to refute in a cluster of this size.
-    fn suspicion_time(&self) -> Duration {
+    fn suspicion_timeout(&self) -> Duration {
         self.config.suspicion_timeout
-            + self.config.suspicion_timeout_per_doubling * self.doublings()
+            + self.config.suspicion_timeout_per_doubling * self.cluster_doublings()
     }
 
     /// Starts the time in which a suspected member may refute.
@@ -81,7 +81,9 @@
             true => 1,
             false => self.config.other_zone_suspicion_factor,
         };
-        let wait = self.detection.patient(self.suspicion_time() * factor);
+        let wait = self
+            .detection
+            .scaled_timeout(self.suspicion_timeout() * factor);
         self.detection
             .suspicions
             .retain(|suspicion| suspicion.key != key);
@@ -99,8 +101,8 @@
         if !self.detection.suspicions.iter().any(due) {
             return;
         }
-        let pressure = self.statement_pressure();
-        let suspicion_time = self.suspicion_time();
+        let delay_factor = self.refutation_delay_factor();
+        let suspicion_timeout = self.suspicion_timeout();
         let mut suspicions = std::mem::take(&mut self.detection.suspicions);
         let mut dead = Vec::new();
         suspicions.retain_mut(|suspicion| {
@@ -115,9 +117,9 @@
                 return true;
             }
             let suspected_for = now.since(suspicion.started_at);
-            let too_soon = suspected_for < suspicion_time * pressure;
-            if too_soon || self.is_zone_in_doubt(member, suspected_for) {
-                suspicion.deadline = now + suspicion_time;
+            let too_soon = suspected_for < suspicion_timeout * delay_factor;
+            if too_soon || self.may_be_zone_failure(member, suspected_for) {
+                suspicion.deadline = now + suspicion_timeout;
                 return true;
             }
             dead.push((suspicion.key, state.with_status(MemberStatus::Dead)));
@@ -130,21 +132,21 @@
     }
 
     /// How many times as long as usual a refutation may take, as many statements wait here.
-    fn statement_pressure(&self) -> u32 {
+    fn refutation_delay_factor(&self) -> u32 {
         /// Short statements that travel without delay, about what one datagram holds.
-        const WITHOUT_DELAY: usize = 32;
-        1 + (self.queue.short_statements() / WITHOUT_DELAY) as u32
+        const UPDATES_PER_DATAGRAM: usize = 32;
+        1 + (self.queue.short_update_count() / UPDATES_PER_DATAGRAM) as u32
     }
 
     /// Whether the silence of a member may be that of its whole zone.
-    fn is_zone_in_doubt(&self, member: &Member, suspected_for: Duration) -> bool {
+    fn may_be_zone_failure(&self, member: &Member, suspected_for: Duration) -> bool {
         let zone = self.table.zone_of(member);
-        let stormy = zone.is_stormy(
+        let mass_suspicion = zone.has_mass_suspicion(
             self.config.mass_suspicion_percent,
             self.config.mass_suspicion_min_members,
         );
-        let held_for_storm = stormy && suspected_for < self.config.mass_suspicion_max_hold;
-        held_for_storm || !self.table.is_reachable(zone)
+        let held_back = mass_suspicion && suspected_for < self.config.mass_suspicion_max_hold;
+        held_back || !self.table.is_reachable(zone)
     }
 }
 
@@ -152,10 +154,10 @@
 ///
 /// The answer must come from the target's zone. Where this node's own zone has no third member,
 /// an answer from any zone shows at least that this node itself is not cut off.
-fn is_proof(table: &MemberTable, answered: NodeKey, target: NodeKey) -> bool {
+fn confirms_failure(table: &MemberTable, answered: NodeKey, target: NodeKey) -> bool {
     let (Some(answered), Some(target)) = (table.find(answered), table.find(target)) else {
         return false;
     };
-    let pair_zone = target.zone == 0 && table.zone_of(target).members == 1;
-    answered.zone == target.zone || pair_zone
+    let two_node_zone = target.zone == 0 && table.zone_of(target).members == 1;
+    answered.zone == target.zone || two_node_zone
 }
--- a/crates/spurpier-core/src/membership/sync.rs
+++ b/crates/spurpier-core/src/membership/sync.rs
@@ -10,18 +10,18 @@
 use super::identity::NodeKey;
 use super::machine::Membership;
 use super::message::{MemberUpdate, MembershipMessage};
-use super::table::{PARTS, part_of, state_digest};
+use super::table::{BUCKET_COUNT, bucket_of, state_digest};
 use crate::time::Timestamp;
 use crate::wire::List;
 
 /// Parts of the view that one repair may carry.
-const PARTS_AT_ONCE: usize = 24;
+const MAX_BUCKETS_PER_SYNC: usize = 24;
 /// Quick repairs after a pause or a join, when much may have been missed.
 const QUICK_SYNCS: u32 = 4;
 /// The time between two quick repairs.
 const QUICK_SYNC_INTERVAL: Duration = Duration::from_secs(1);
 /// Identities sent at most in answer to one request.
-const IDENTITIES_AT_ONCE: usize = 64;
+const MAX_IDENTITIES_PER_ANSWER: usize = 64;
 
 /// When the view was last repaired by digests.
 #[derive(Debug, Clone, Default)]
@@ -29,7 +29,7 @@
     /// The earliest moment of the next repair.
     pub(super) next: Timestamp,
     /// Repairs that may follow each other quickly.
-    quick: u32,
+    quick_syncs_left: u32,
     /// Silent members that the platform's list lacks, and since when.
     pub(super) unlisted: Vec<(NodeKey, Timestamp)>,
     /// The earliest moment at which the next joining node is given the whole view.
@@ -38,8 +38,8 @@
 
 impl SyncProgress {
     /// Lets the next few repairs follow each other quickly.
-    pub(super) fn hurry(&mut self, now: Timestamp) {
-        self.quick = QUICK_SYNCS;
+    pub(super) fn allow_quick_syncs(&mut self, now: Timestamp) {
+        self.quick_syncs_left = QUICK_SYNCS;
         self.next = now;
     }
 }
@@ -53,11 +53,11 @@
         };
         // Two zones that were cut off from each other agree within, but not with each other.
         if equal {
-            zone.last_equal = now;
+            zone.last_equal_view = now;
             return;
         }
-        let quick = self.sync.quick > 0;
-        let recently_equal = !quick && now.since(zone.last_equal) < self.config.sync_interval;
+        let quick = self.sync.quick_syncs_left > 0;
+        let recently_equal = !quick && now.since(zone.last_equal_view) < self.config.sync_interval;
         if recently_equal || now < self.sync.next {
             return;
         }
@@ -65,48 +65,50 @@
             return;
         };
         let to = Destination::datagram(&member.identity);
-        self.sync.quick = self.sync.quick.saturating_sub(1);
+        self.sync.quick_syncs_left = self.sync.quick_syncs_left.saturating_sub(1);
         let wait = match quick {
             true => QUICK_SYNC_INTERVAL,
             false => self.config.sync_interval,
         };
         let jitter = self.random.random_range(0..=wait.as_micros() as u64);
         self.sync.next = now + wait + Duration::from_micros(jitter);
-        let digests = (0..PARTS).map(|part| self.part_digest(part)).collect();
+        let digests = (0..BUCKET_COUNT)
+            .map(|bucket| self.bucket_digest(bucket))
+            .collect();
         self.send(to, MembershipMessage::BucketDigests(List(digests)));
     }
 
-    fn part_digest(&self, part: usize) -> u64 {
-        let others = self.table.part_digests()[part];
-        match part_of(self.key) == part {
+    fn bucket_digest(&self, bucket: usize) -> u64 {
+        let others = self.table.bucket_digests()[bucket];
+        match bucket_of(self.key) == bucket {
             true => others ^ state_digest(self.key, self.state),
             false => others,
         }
     }
 
-    pub(super) fn give_differing_parts(&mut self, sender: NodeKey, digests: &[u64]) {
-        if digests.len() != PARTS {
+    pub(super) fn send_differing_buckets(&mut self, sender: NodeKey, digests: &[u64]) {
+        if digests.len() != BUCKET_COUNT {
             return;
         }
-        let mut buckets: Vec<u8> = (0..PARTS)
-            .filter(|part| digests[*part] != self.part_digest(*part))
-            .map(|part| part as u8)
+        let mut buckets: Vec<u8> = (0..BUCKET_COUNT)
+            .filter(|bucket| digests[*bucket] != self.bucket_digest(*bucket))
+            .map(|bucket| bucket as u8)
             .collect();
         buckets.shuffle(&mut self.random);
-        buckets.truncate(PARTS_AT_ONCE);
+        buckets.truncate(MAX_BUCKETS_PER_SYNC);
         if !buckets.is_empty() {
-            self.send_parts(sender, &buckets, true);
+            self.send_buckets(sender, &buckets, true);
         }
     }
 
-    fn send_parts(&mut self, receiver: NodeKey, buckets: &[u8], reply_requested: bool) {
+    fn send_buckets(&mut self, receiver: NodeKey, buckets: &[u8], reply_requested: bool) {
         let Some(member) = self.table.find(receiver) else {
             return;
         };
         let to = Destination::stream(&member.identity);
         let mut states = Vec::new();
-        for part in buckets {
-            self.push_part_states(usize::from(*part), &mut states);
+        for bucket in buckets {
+            self.push_bucket_states(usize::from(*bucket), &mut states);
         }
         let message = MembershipMessage::BucketStates {
             buckets: List(buckets.to_vec()),
@@ -116,8 +118,8 @@
         self.send(to, message);
     }
 
-    fn push_part_states(&self, part: usize, states: &mut Vec<MemberUpdate>) {
-        let statement = |key, state| MemberUpdate {
+    fn push_bucket_states(&self, bucket: usize, states: &mut Vec<MemberUpdate>) {
+        let update = |key, state| MemberUpdate {
             key,
             state,
             identity: None,
@@ -125,17 +127,17 @@
         let members = self.table.raw_members();
         states.extend(
             members
-                .filter(|member| part_of(member.key) == part)
-                .map(|member| statement(member.key, member.state())),
+                .filter(|member| bucket_of(member.key) == bucket)
+                .map(|member| update(member.key, member.state())),
         );
-        let departed = self.table.departed_in(part);
-        states.extend(departed.iter().map(|(key, state)| statement(*key, *state)));
-        if part_of(self.key) == part {
+        let departed = self.table.departed_in_bucket(bucket);
+        states.extend(departed.iter().map(|(key, state)| update(*key, *state)));
+        if bucket_of(self.key) == bucket {
             states.push(self.own_update());
         }
     }
 
-    pub(super) fn parts_received(
+    pub(super) fn handle_bucket_states(
         &mut self,
         now: Timestamp,
         sender: NodeKey,
@@ -144,20 +146,20 @@
         reply_requested: bool,
     ) {
         self.merge(now, Some(sender), states);
-        let few = buckets.len() <= PARTS_AT_ONCE;
+        let few = buckets.len() <= MAX_BUCKETS_PER_SYNC;
         if reply_requested && few {
-            self.send_parts(sender, buckets, false);
+            self.send_buckets(sender, buckets, false);
         }
     }
 
-    pub(super) fn give_identities(
+    pub(super) fn send_identities(
         &mut self,
         sender: NodeKey,
         from: Option<SocketAddr>,
         keys: &[NodeKey],
     ) {
         let mut found = Vec::new();
-        for key in keys.iter().take(IDENTITIES_AT_ONCE) {
+        for key in keys.iter().take(MAX_IDENTITIES_PER_ANSWER) {
             if *key == self.key {
                 found.push(self.own_update());
             } else if let Some(member) = self.table.find(*key) {
--- a/crates/spurpier-core/src/membership/table.rs
+++ b/crates/spurpier-core/src/membership/table.rs
@@ -11,12 +11,12 @@
 use crate::time::Timestamp;
 
 /// The parts into which the view is divided for its digests.
-pub(super) const PARTS: usize = 128;
+pub(super) const BUCKET_COUNT: usize = 128;
 
 /// A place in the table.
 pub(super) type Slot = u32;
 /// The number of a zone in the table.
-pub(super) type ZoneNumber = u16;
+pub(super) type ZoneIndex = u16;
 
 /// Hashes node keys, which are hashes already.
 #[derive(Debug, Clone, Copy, Default)]
@@ -51,7 +51,7 @@
     incarnation: u64,
     status: MemberStatus,
     /// The number of its zone.
-    pub(super) zone: ZoneNumber,
+    pub(super) zone: ZoneIndex,
 }
 
 impl Member {
@@ -77,7 +77,7 @@
 
 /// A departed member, remembered for a time.
 #[derive(Debug, Clone, Copy)]
-struct Departed {
+struct DepartedMember {
     state: MemberState,
     forget_at: Timestamp,
 }
@@ -88,13 +88,13 @@
     own_zone: ZoneName,
     own_region: RegionName,
     members: Vec<Option<Member>>,
-    free: Vec<Slot>,
+    free_slots: Vec<Slot>,
     index: KeyMap<Slot>,
     /// The zones in the order in which they were first seen; the own zone is the first.
     pub(super) zones: Vec<ZoneState>,
-    part_digests: [u64; PARTS],
+    bucket_digests: [u64; BUCKET_COUNT],
     digest: u64,
-    departed: KeyMap<Departed>,
+    departed: KeyMap<DepartedMember>,
     zone_unreachable_failures: u32,
 }
 
@@ -107,10 +107,10 @@
             own_zone,
             own_region,
             members: Vec::new(),
-            free: Vec::new(),
+            free_slots: Vec::new(),
             index: KeyMap::default(),
             zones: vec![first],
-            part_digests: [0; PARTS],
+            bucket_digests: [0; BUCKET_COUNT],
             digest: 0,
             departed: KeyMap::default(),
             zone_unreachable_failures,
@@ -162,14 +162,14 @@
             .raw_members()
             .map(|member| member.identity.memory_bytes())
             .sum();
-        let index_place = size_of::<(NodeKey, Slot)>() + CONTROL_BYTE;
-        let departed_place = size_of::<(NodeKey, Departed)>() + CONTROL_BYTE;
+        let index_entry = size_of::<(NodeKey, Slot)>() + CONTROL_BYTE;
+        let departed_entry = size_of::<(NodeKey, DepartedMember)>() + CONTROL_BYTE;
         size_of::<Self>()
             + identities
             + self.members.capacity() * size_of::<Option<Member>>()
-            + self.free.capacity() * size_of::<Slot>()
-            + hash_places(self.index.capacity()) * index_place
-            + hash_places(self.departed.capacity()) * departed_place
+            + self.free_slots.capacity() * size_of::<Slot>()
+            + hash_map_buckets(self.index.capacity()) * index_entry
+            + hash_map_buckets(self.departed.capacity()) * departed_entry
             + self.zones.capacity() * size_of::<ZoneState>()
     }
 
@@ -179,12 +179,12 @@
     }
 
     /// The digest of each part of the view.
-    pub(super) fn part_digests(&self) -> &[u64; PARTS] {
-        &self.part_digests
+    pub(super) fn bucket_digests(&self) -> &[u64; BUCKET_COUNT] {
+        &self.bucket_digests
     }
 
     pub(super) fn is_reachable(&self, zone: &ZoneState) -> bool {
-        zone.failures_in_row < self.zone_unreachable_failures
+        zone.consecutive_failures < self.zone_unreachable_failures
     }
 
     /// Whether new work may be sent to the member.
@@ -215,14 +215,14 @@
     }
 
     pub(super) fn zone_of_mut(&mut self, key: NodeKey) -> Option<&mut ZoneState> {
-        let number = self.find(key)?.zone;
-        self.zones.get_mut(usize::from(number))
+        let index = self.find(key)?.zone;
+        self.zones.get_mut(usize::from(index))
     }
 
     /// Adds a member that is not known yet and gives its place.
     pub(super) fn insert(&mut self, identity: Arc<MemberIdentity>, state: MemberState) -> Slot {
         let key = identity.key();
-        let zone = self.zone_number(&identity);
+        let zone = self.zone_index(&identity);
         let member = Member {
             identity,
             key,
@@ -234,7 +234,7 @@
         self.zones[usize::from(zone)].members += 1;
         self.count_suspect(zone, state.status, true);
         self.toggle_digest(key, state);
-        let slot = self.free.pop().unwrap_or_else(|| {
+        let slot = self.free_slots.pop().unwrap_or_else(|| {
             self.members.push(None);
             (self.members.len() - 1) as Slot
         });
@@ -265,7 +265,7 @@
     pub(super) fn remove(&mut self, key: NodeKey) -> Option<Member> {
         let slot = self.index.remove(&key)?;
         let member = self.members[slot as usize].take()?;
-        self.free.push(slot);
+        self.free_slots.push(slot);
         self.zones[usize::from(member.zone)].members -= 1;
         self.count_suspect(member.zone, member.status, false);
         self.toggle_digest(key, member.state());
@@ -284,7 +284,8 @@
         state: MemberState,
         forget_at: Timestamp,
     ) {
-        self.departed.insert(key, Departed { state, forget_at });
+        self.departed
+            .insert(key, DepartedMember { state, forget_at });
     }
 
     /// Forgets the departed members whose time is over.
@@ -293,11 +294,11 @@
     }
 
     /// The departed members of one part, sorted by key.
-    pub(super) fn departed_in(&self, part: usize) -> Vec<(NodeKey, MemberState)> {
+    pub(super) fn departed_in_bucket(&self, bucket: usize) -> Vec<(NodeKey, MemberState)> {
         let mut found: Vec<_> = self
             .departed
             .iter()
-            .filter(|(key, _)| part_of(**key) == part)
+            .filter(|(key, _)| bucket_of(**key) == bucket)
             .map(|(key, departed)| (*key, departed.state))
             .collect();
         found.sort_unstable_by_key(|(key, _)| *key);
@@ -312,18 +313,18 @@
         }
     }
 
-    fn zone_number(&mut self, identity: &MemberIdentity) -> ZoneNumber {
+    fn zone_index(&mut self, identity: &MemberIdentity) -> ZoneIndex {
         let known = self
             .zones
             .iter()
             .position(|zone| zone.name == identity.zone);
-        let number = known.unwrap_or_else(|| {
+        let index = known.unwrap_or_else(|| {
             let distance = self.distance_of(identity);
             let zone = ZoneState::new(identity.zone.clone(), distance);
             self.zones.push(zone);
             self.zones.len() - 1
         });
-        number as ZoneNumber
+        index as ZoneIndex
     }
 
     fn distance_of(&self, identity: &MemberIdentity) -> ZoneDistance {
@@ -336,7 +337,7 @@
         }
     }
 
-    fn count_suspect(&mut self, zone: ZoneNumber, status: MemberStatus, added: bool) {
+    fn count_suspect(&mut self, zone: ZoneIndex, status: MemberStatus, added: bool) {
         if !status.is_suspect() {
             return;
         }
@@ -346,14 +347,14 @@
 
     fn toggle_digest(&mut self, key: NodeKey, state: MemberState) {
         let digest = state_digest(key, state);
-        self.part_digests[part_of(key)] ^= digest;
+        self.bucket_digests[bucket_of(key)] ^= digest;
         self.digest ^= digest;
     }
 }
 
 /// The part of the view to which a member belongs.
-pub(super) fn part_of(key: NodeKey) -> usize {
-    (key.0 % PARTS as u64) as usize
+pub(super) fn bucket_of(key: NodeKey) -> usize {
+    (key.0 % BUCKET_COUNT as u64) as usize
 }
 
 /// The digest of one member's state; suspicions come and go and are left out.
@@ -367,7 +368,7 @@
 }
 
 /// The places that a hash map of this capacity holds: a power of two, filled to 7/8.
-fn hash_places(capacity: usize) -> usize {
+fn hash_map_buckets(capacity: usize) -> usize {
     match capacity {
         0 => 0,
         some => (some * 8 / 7).next_power_of_two(),
--- a/crates/spurpier-core/src/membership/zones.rs
+++ b/crates/spurpier-core/src/membership/zones.rs
@@ -46,11 +46,11 @@
     /// Those of them under suspicion.
     pub(super) suspects: usize,
     /// Probes into the zone that failed since the last answer from there.
-    pub(super) failures_in_row: u32,
+    pub(super) consecutive_failures: u32,
     /// When a member of the zone last answered.
     pub(super) last_answer: Option<Timestamp>,
     /// When the view of a member of the zone was last equal to the own.
-    pub(super) last_equal: Timestamp,
+    pub(super) last_equal_view: Timestamp,
 }
 
 impl ZoneState {
@@ -61,26 +61,26 @@
             distance,
             members: 0,
             suspects: 0,
-            failures_in_row: 0,
+            consecutive_failures: 0,
             last_answer: None,
-            last_equal: Timestamp::ZERO,
+            last_equal_view: Timestamp::ZERO,
         }
     }
 
     /// Notes that a member of the zone answered.
-    pub(super) fn answered(&mut self, now: Timestamp) {
-        self.failures_in_row = 0;
+    pub(super) fn record_answer(&mut self, now: Timestamp) {
+        self.consecutive_failures = 0;
         self.last_answer = Some(now);
     }
 
     /// Notes that a probe into the zone failed.
-    pub(super) fn failed(&mut self) {
-        self.failures_in_row = self.failures_in_row.saturating_add(1);
+    pub(super) fn record_failure(&mut self) {
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
     }
 
     /// Whether so many members are suspected at once that a cut is likelier than their deaths.
-    pub(super) fn is_stormy(&self, percent: usize, least: usize) -> bool {
-        self.suspects >= least && self.suspects * 100 >= self.members * percent
+    pub(super) fn has_mass_suspicion(&self, percent: usize, min_suspects: usize) -> bool {
+        self.suspects >= min_suspects && self.suspects * 100 >= self.members * percent
     }
 
     /// Whether nothing was heard from the zone for `silence`.
--- a/crates/spurpier-core/tests/membership_merge.rs
+++ b/crates/spurpier-core/tests/membership_merge.rs
@@ -56,7 +56,7 @@
     })
 }
 
-fn feed(node: &mut Membership, updates: &[MemberUpdate]) -> Vec<MembershipAction> {
+fn apply(node: &mut Membership, updates: &[MemberUpdate]) -> Vec<MembershipAction> {
     let mut actions = Vec::new();
     for update in updates {
         let event = MembershipEvent::Received {
@@ -81,7 +81,7 @@
 
 proptest! {
     #[test]
-    fn the_order_of_statements_does_not_matter(
+    fn the_order_of_updates_does_not_matter(
         updates in prop::collection::vec(update(), 0..24),
         seed in any::<u64>(),
     ) {
@@ -91,18 +91,18 @@
         shuffled.extend(updates.iter().rev().cloned());
         let mut first = node();
         let mut second = node();
-        feed(&mut first, &updates);
-        feed(&mut second, &shuffled);
+        apply(&mut first, &updates);
+        apply(&mut second, &shuffled);
         prop_assert_eq!(known(&first), known(&second));
         prop_assert_eq!(first.view_digest(), second.view_digest());
     }
 
     #[test]
-    fn a_member_is_known_unless_its_newest_statement_says_that_it_has_gone(
+    fn a_member_is_known_unless_its_newest_update_says_that_it_is_gone(
         updates in prop::collection::vec(update(), 0..24),
     ) {
         let mut node = node();
-        feed(&mut node, &updates);
+        apply(&mut node, &updates);
         for number in 0..6 {
             let key = identity(number).key();
             let newest = updates
@@ -116,35 +116,35 @@
     }
 
     #[test]
-    fn a_living_node_refutes_whatever_is_said_of_it(
+    fn a_living_node_refutes_every_update_about_itself(
         incarnation in prop_oneof![1u64..100, Just(u64::MAX - 1)],
         status in status(),
     ) {
         let mut node = node();
-        let said = MemberState { incarnation, status };
-        let update = MemberUpdate { key: node.key(), state: said, identity: None };
+        let reported = MemberState { incarnation, status };
+        let update = MemberUpdate { key: node.key(), state: reported, identity: None };
         let before = node.state();
-        feed(&mut node, &[update]);
-        prop_assert!(node.state() >= said);
+        apply(&mut node, &[update]);
+        prop_assert!(node.state() >= reported);
         prop_assert!(node.state() >= before);
         prop_assert_eq!(node.state().status, MemberStatus::Alive);
     }
 }
 
 #[test]
-fn a_node_that_stopped_does_not_refute_its_departure() {
+fn a_stopped_node_does_not_refute_its_departure() {
     let mut node = node();
     node.handle(Timestamp::ZERO, MembershipEvent::Stop);
-    let said = MemberState {
+    let reported = MemberState {
         incarnation: 5,
         status: MemberStatus::Dead,
     };
     let update = MemberUpdate {
         key: node.key(),
-        state: said,
+        state: reported,
         identity: None,
     };
-    feed(&mut node, &[update]);
+    apply(&mut node, &[update]);
     assert_eq!(node.state().status, MemberStatus::Left);
     assert_eq!(node.state().incarnation, 1);
 }
@@ -157,6 +157,6 @@
         state: MemberState::alive(1),
         identity: Some(identity(2)),
     };
-    feed(&mut node, &[update]);
+    apply(&mut node, &[update]);
     assert!(node.members().is_empty());
 }
