--- a/crates/spurpier-core/src/control/machine_list.rs
+++ b/crates/spurpier-core/src/control/machine_list.rs
@@ -1,7 +1,7 @@
-//! When a node reads the platform's list of machines.
+//! The schedule on which a node reads the platform's list of machines.
 //!
-//! The list's size grows with the number of machines, and so does the time between two reads: the
-//! bytes that a watcher spends on it each second stay the same at every size.
+//! The size of the list grows with the number of machines, and the interval between reads grows
+//! with it, so that a watcher reads the same number of bytes per second at every cluster size.
 
 use std::time::Duration;
 
@@ -10,8 +10,10 @@
 
 use crate::time::Timestamp;
 
-/// The reading schedule: a node that cannot join reads with growing waits, watchers at a slow
-/// steady rate, all others never.
+/// The schedule of reads.
+///
+/// Nodes that have not joined read with growing delays while reads fail, and watchers read at a
+/// slow steady rate. All other nodes postpone each read without making it.
 #[derive(Debug, Clone)]
 pub(super) struct MachineListSchedule {
     next: Timestamp,
@@ -22,7 +24,8 @@
 }
 
 impl MachineListSchedule {
-    /// The first read is due after a random part of `max_initial_delay`, so that seeds can serve before.
+    /// Creates the schedule. The first read is due after a random part of `max_initial_delay`, so
+    /// that a node usually joins through its seeds before.
     pub(super) fn new(
         now: Timestamp,
         max_initial_delay: Duration,
@@ -40,24 +43,24 @@
         }
     }
 
-    /// When a read is due.
+    /// Returns when the next read is due; `None` while a read is in progress.
     pub(super) fn next_deadline(&self) -> Option<Timestamp> {
         (!self.outstanding).then_some(self.next)
     }
 
-    /// Whether the list is to be read now; the caller then reads it.
+    /// Starts a read if one is due, and returns whether it did; the caller then reads the list.
     pub(super) fn start_if_due(&mut self, now: Timestamp) -> bool {
         let due = !self.outstanding && self.next <= now;
         self.outstanding |= due;
         due
     }
 
-    /// Puts the next read off without reading.
+    /// Postpones the next read by one interval.
     pub(super) fn postpone(&mut self, now: Timestamp, members: usize, random: &mut SmallRng) {
         self.next = now + jitter(random, self.interval(members));
     }
 
-    /// Notes the end of a read.
+    /// Records the end of a read and schedules the next one.
     pub(super) fn record_result(
         &mut self,
         now: Timestamp,
@@ -65,7 +68,7 @@
         members: usize,
         random: &mut SmallRng,
     ) {
-        /// The longest wait after failures, in steady waits.
+        /// The longest delay after failures, as a multiple of the minimum interval.
         const MAX_WAIT_FACTOR: u32 = 4;
         self.outstanding = false;
         self.wait = match succeeded {
@@ -82,7 +85,7 @@
     }
 }
 
-/// Half of the wait and a random part of the other half.
+/// Returns half of the wait plus a random part of the other half.
 fn jitter(random: &mut SmallRng, wait: Duration) -> Duration {
     let half = wait.as_micros() as u64 / 2;
     Duration::from_micros(half + random.random_range(0..=half))
--- a/crates/spurpier-core/src/control/message.rs
+++ b/crates/spurpier-core/src/control/message.rs
@@ -1,4 +1,4 @@
-//! The envelope of every control message between nodes.
+//! The envelope of control messages between nodes.
 
 use nanoserde::{DeBin, SerBin};
 
@@ -8,19 +8,19 @@
 /// A control message from one node to another.
 #[derive(Debug, Clone, PartialEq, Eq, SerBin, DeBin)]
 pub struct GossipMessage {
-    /// The node that sends it.
+    /// The key of the sending node.
     pub sender: NodeKey,
-    /// The version of the document that is in force there.
+    /// The version of the document that is in force on the sender.
     pub version: u64,
-    /// What it says.
+    /// The message itself.
     pub body: GossipBody,
 }
 
-/// What a control message says.
+/// The body of a control message.
 #[derive(Debug, Clone, PartialEq, Eq, SerBin, DeBin)]
 pub enum GossipBody {
-    /// About members.
+    /// A message of the membership protocol.
     Membership(MembershipMessage),
-    /// About the document.
+    /// A message of the protocol that distributes the document.
     Distribution(SpreadMessage),
 }
--- a/crates/spurpier-core/src/control/mod.rs
+++ b/crates/spurpier-core/src/control/mod.rs
@@ -1,8 +1,9 @@
-//! The control state of one node: membership, the document in force, and the watcher's duty.
+//! The control state of one node: cluster membership, the document in force, and whether the
+//! node is a watcher, which reads the platform on behalf of its zone.
 //!
-//! [`ControlNode`] joins the machines of [`crate::membership`] and [`crate::spread`] behind one
-//! interface, so that a real node has one thing to drive: pass in events, carry out actions, and
-//! tick it no later than its next deadline.
+//! [`ControlNode`] combines the state machines of [`crate::membership`] and [`crate::spread`]
+//! behind one interface. The caller passes in events, carries out the returned actions, and sends
+//! a tick by the next deadline.
 
 mod machine_list;
 mod message;
--- a/crates/spurpier-core/src/control/node.rs
+++ b/crates/spurpier-core/src/control/node.rs
@@ -20,18 +20,18 @@
 };
 use crate::time::Timestamp;
 
-/// The rates and bounds of all control protocols.
+/// Configuration of all control protocols.
 #[derive(Debug, Clone)]
 pub struct ControlConfig {
-    /// Of the membership.
+    /// Configuration of the membership protocol.
     pub membership: Arc<MembershipConfig>,
-    /// Of the spread of documents.
+    /// Configuration of the distribution of the document.
     pub distribution: Arc<SpreadTuning>,
-    /// The least time between two reads of the machine list by one watcher.
+    /// The minimum interval between two reads of the machine list by one watcher.
     pub machine_list_interval: Duration,
-    /// The time between two such reads for each member, where that is longer.
+    /// The interval between two such reads per member of the cluster, if that is longer in total.
     pub machine_list_interval_per_member: Duration,
-    /// The longest time before a node that has not joined reads the machine list.
+    /// The longest delay before a node that has not joined first reads the machine list.
     pub first_machine_list_max_delay: Duration,
 }
 
@@ -47,64 +47,66 @@
     }
 }
 
-/// What happens to a node's control state.
+/// An input of the control state machine.
 #[derive(Debug, Clone)]
 pub enum ControlEvent {
-    /// The time of [`ControlNode::next_deadline`] has come (or any other time).
+    /// Time has passed; due at [`ControlNode::next_deadline`] at the latest, allowed earlier.
     Tick,
     /// A message from another node arrived.
     Received {
-        /// The gossip address that it came from; none when it came over a connection.
+        /// The address that the datagram came from; `None` if it came over a connection.
         from: Option<SocketAddr>,
-        /// The message.
+        /// The decoded message.
         message: GossipMessage,
     },
-    /// The answer to [`ControlAction::ReadMachineList`].
+    /// The result of [`ControlAction::ReadMachineList`].
     MachineListRead(Result<Vec<ListedMachine>, ReadFailure>),
-    /// The answer to [`ControlAction::ReadHead`]: the version of the head.
+    /// The result of [`ControlAction::ReadHead`]: the newest version of the document.
     HeadRead(Result<u64, ReadFailure>),
-    /// The answer to [`ControlAction::FetchChanges`].
+    /// The result of [`ControlAction::FetchChanges`].
     ChangesFetched(Result<FetchedChanges, ReadFailure>),
-    /// This node will stop and takes no new work.
+    /// This node will stop and accepts no new work.
     Leave,
     /// This node stops now.
     Stop,
 }
 
-/// What the caller has to do.
+/// An output of the control state machine, to be carried out by the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ControlAction {
     /// Send a message to another node.
     Send {
-        /// Where to.
+        /// The receiver and the transport.
         to: Destination,
-        /// The message.
+        /// The message to send.
         message: GossipMessage,
     },
-    /// The view of the members has changed.
+    /// Report a change of the view of the cluster to other parts of the node.
     MemberChanged(MemberChange),
-    /// This node began to suspect a member after its own probes failed.
+    /// Report that this node's own probes made it suspect a member.
     SuspicionRaised(NodeKey),
-    /// Read the list of machines; answer with [`ControlEvent::MachineListRead`] in any case.
+    /// Read the platform's list of machines. Success and failure are both passed back as
+    /// [`ControlEvent::MachineListRead`].
     ReadMachineList,
-    /// Read the head; answer with [`ControlEvent::HeadRead`] in any case.
+    /// Read the head, which holds the newest version of the document on the platform. Success and
+    /// failure are both passed back as [`ControlEvent::HeadRead`].
     ReadHead,
-    /// Read the changes after `since` up to `head`, or the whole document when they are many;
-    /// answer with [`ControlEvent::ChangesFetched`] in any case.
+    /// Read the changes after `since` up to `head`, or the whole document if they are many. Success
+    /// and failure are both passed back as [`ControlEvent::ChangesFetched`].
     FetchChanges {
-        /// The version that this node has.
+        /// The version on this node.
         since: u64,
         /// The version of the head that was read.
         head: u64,
     },
-    /// A newer version of the document is in force on this node.
+    /// Report that a newer version of the document is in force on this node.
     Installed {
-        /// The version.
+        /// The version now in force.
         version: u64,
     },
 }
 
-/// The control state of one node.
+/// The control state of one node: its view of the cluster and the document in force.
 #[derive(Debug, Clone)]
 pub struct ControlNode<S> {
     membership: Membership,
@@ -118,10 +120,11 @@
 }
 
 impl<S: DocumentStore> ControlNode<S> {
-    /// A node that knows itself, the gossip addresses to join by, and the document of `store`.
+    /// Creates a node that knows itself, the gossip addresses through which to join, and the
+    /// document of `store`.
     ///
-    /// The incarnation must be higher than in any earlier life of a node of this name. The seed
-    /// feeds all random choices; two nodes must not share it.
+    /// The incarnation must be higher than any earlier one of a node of this name. The seed
+    /// initialises the generator of all random choices; two nodes must not share it.
     pub fn new(
         now: Timestamp,
         identity: Arc<MemberIdentity>,
@@ -162,7 +165,8 @@
         node
     }
 
-    /// Fills the view with members known from elsewhere, without a word to anyone.
+    /// Adds live members known from elsewhere, each with its incarnation, without sending any
+    /// message; the node then counts as joined.
     pub fn preload(
         &mut self,
         now: Timestamp,
@@ -172,7 +176,7 @@
         self.update_watching(now);
     }
 
-    /// Takes an event at time `now` and gives what is to be done.
+    /// Handles an event at time `now` and returns the actions to carry out.
     pub fn handle(&mut self, now: Timestamp, event: ControlEvent) -> Vec<ControlAction> {
         match event {
             ControlEvent::Tick => self.tick(now),
@@ -190,7 +194,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// When [`ControlEvent::Tick`] is due at the latest.
+    /// Returns when [`ControlEvent::Tick`] is due at the latest.
     pub fn next_deadline(&self) -> Timestamp {
         let membership = self.membership.next_deadline();
         let distribution = self.distribution.next_deadline();
@@ -198,22 +202,22 @@
         membership.min(distribution).min(list.unwrap_or(membership))
     }
 
-    /// The view of the members.
+    /// Returns the membership state machine, with the view of the cluster.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// The document and its version.
+    /// Returns the distribution state machine, with the document and its version.
     pub fn distribution(&self) -> &Spread<S> {
         &self.distribution
     }
 
-    /// Whether this node reads the platform for its zone.
+    /// Whether this node is a watcher, which reads the platform on behalf of its zone.
     pub fn is_watcher(&self) -> bool {
         self.watching
     }
 
-    /// The bytes of control state that this node holds.
+    /// Estimates the memory that the control state takes, in bytes.
     pub fn memory_bytes(&self) -> usize {
         size_of::<Self>() + self.membership.memory_bytes() + self.distribution.memory_bytes()
     }
@@ -349,7 +353,7 @@
         self.actions.push(ControlAction::Send { to, message });
     }
 
-    /// Whether a change can make or unmake a watcher of the own zone.
+    /// Whether a change can affect which nodes of the own zone are watchers.
     fn affects_watchers(&self, change: &MemberChange) -> bool {
         let own_zone = &self.membership.identity().zone;
         match change {
--- a/crates/spurpier-core/src/membership/config.rs
+++ b/crates/spurpier-core/src/membership/config.rs
@@ -1,55 +1,59 @@
-//! The rates, times and bounds of the membership protocol.
+//! Configuration of the membership protocol.
 
 use std::time::Duration;
 
-/// The rates, times and bounds of the membership protocol.
+/// Intervals, timeouts and limits of the membership protocol.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MembershipConfig {
-    /// The time between two probes to nodes of the own zone.
+    /// The interval between probes to nodes of the own zone.
     pub own_zone_probe_interval: Duration,
-    /// The time between two probes to other zones of the own region.
+    /// The interval between probes to other zones of the own region.
     pub own_region_probe_interval: Duration,
-    /// The time between two probes to other regions.
+    /// The interval between probes to other regions.
     pub other_region_probe_interval: Duration,
-    /// How long a probe may go unanswered before others are asked to probe too.
+    /// How long a probe may go unanswered before other nodes are asked for indirect probes.
     pub direct_probe_timeout: Duration,
-    /// How long a probe may go unanswered in all before it counts as failed.
+    /// How long a probe may go unanswered in total before it counts as failed.
     pub probe_timeout: Duration,
-    /// How many nodes are asked to probe in one's place.
+    /// How many nodes are asked for an indirect probe.
     pub indirect_probe_count: usize,
-    /// How long a suspected node of the own zone has to refute, in a cluster of one.
+    /// The base time that a suspected node of the own zone has to refute the suspicion.
     pub suspicion_timeout: Duration,
-    /// What is added to that for each doubling of the cluster: a refutation takes more rounds.
+    /// Added to [`Self::suspicion_timeout`] for each doubling of the cluster's size, because a
+    /// refutation then takes more rounds of gossip.
     pub suspicion_timeout_per_doubling: Duration,
-    /// Suspicions of nodes in other zones last this many times as long.
+    /// The factor by which the timeout is longer for suspected nodes of other zones.
     pub other_zone_suspicion_factor: u32,
-    /// Zones with fewer members than this are watched by all other nodes too.
+    /// Nodes of other zones may also raise suspicions in a zone with fewer members than this.
     pub small_zone_size: usize,
-    /// Failed probes without an answer between them after which a zone counts as unreachable.
+    /// The number of consecutive failed probes after which a zone counts as unreachable.
     pub zone_unreachable_failures: u32,
-    /// No death is declared in a zone while this many or more percent of it are suspected.
+    /// While at least this percentage of a zone's members is suspected, none of them is declared
+    /// dead: a network partition is then more likely than their deaths.
     pub mass_suspicion_percent: usize,
-    /// The percentage is only applied to at least this many suspected members.
+    /// The minimum number of suspected members for which that percentage applies.
     pub mass_suspicion_min_members: usize,
-    /// The longest time for which a storm of suspicions holds deaths back while the zone answers.
+    /// The longest time for which a mass suspicion delays deaths in a zone that still answers.
     pub mass_suspicion_max_hold: Duration,
-    /// Each statement is passed on this many times the binary logarithm of the member count.
+    /// Each update is sent this many times the binary logarithm of the member count.
     pub retransmit_factor: usize,
-    /// Bytes of statements in one datagram.
+    /// The maximum size of the updates in one datagram, in bytes.
     pub max_update_bytes: usize,
-    /// The least time between two repairs by digests that this node starts.
+    /// The minimum interval between two anti-entropy syncs that this node starts.
     pub sync_interval: Duration,
-    /// How long departed members are remembered, so that late statements do not revive them.
+    /// How long departed members are remembered, so that delayed updates do not add them again.
     pub departed_retention: Duration,
-    /// The first wait before a join is tried again; doubled up to [`Self::join_retry_max`].
+    /// The first delay before a join is retried; doubled up to [`Self::join_retry_max`].
     pub join_retry_initial: Duration,
-    /// The longest wait before a join is tried again.
+    /// The longest delay before a join is retried.
     pub join_retry_max: Duration,
-    /// How long a member must have been silent before the platform's list can remove it.
+    /// How long an unreachable zone must have been silent before its members can be removed
+    /// because the platform's list lacks them.
     pub unlisted_min_silence: Duration,
-    /// For how long the lists must have lacked it by then; longer than the list can lag.
+    /// For how long the list must have lacked a silent member before it is removed. Longer than
+    /// the list can lag behind.
     pub unlisted_min_absence: Duration,
-    /// A pause between two ticks longer than this means that this node was frozen.
+    /// The pause between two events from which this node assumes that its process was frozen.
     pub freeze_threshold: Duration,
 }
 
--- a/crates/spurpier-core/src/membership/detection.rs
+++ b/crates/spurpier-core/src/membership/detection.rs
@@ -11,52 +11,52 @@
 use super::zones::ZoneDistance;
 use crate::time::Timestamp;
 
-/// The worst value of the local health score; timeouts grow by one with each step.
+/// The worst local health score; each point adds the base value once more to every timeout.
 const MAX_HEALTH_SCORE: u32 = 8;
 
-/// A probe that has not been answered.
+/// A probe that has not been answered yet.
 #[derive(Debug, Clone)]
 pub(super) struct PendingProbe {
-    /// Its number.
+    /// The sequence number of the probe.
     pub(super) number: u32,
-    /// The node probed.
+    /// The probed node.
     pub(super) target: NodeKey,
-    /// When it left.
+    /// When the probe was sent.
     pub(super) sent_at: Timestamp,
-    /// Whether others were asked to probe too.
+    /// Whether other nodes were asked for indirect probes.
     pub(super) indirect_sent: bool,
-    /// Who asked for it and under which number, when it is made in another node's place.
+    /// For an indirect probe, the requester and the sequence number of its request.
     pub(super) requested_by: Option<(NodeKey, u32)>,
 }
 
-/// A failed probe that nothing has yet shown to be the member's own fault.
+/// A failed probe for which it is not yet known whether the member or its zone is at fault.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct UnconfirmedFailure {
-    /// The node probed.
+    /// The probed node.
     pub(super) target: NodeKey,
-    /// When the probe left.
+    /// When the probe was sent.
     pub(super) sent_at: Timestamp,
 }
 
-/// A suspicion that turns into a death unless it is refuted.
+/// A suspicion after which the member is declared dead unless it refutes it.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Suspicion {
-    /// The member.
+    /// The suspected member.
     pub(super) key: NodeKey,
-    /// The life that is suspected.
+    /// The suspected incarnation.
     pub(super) incarnation: u64,
-    /// Since when.
+    /// When the suspicion started.
     pub(super) started_at: Timestamp,
-    /// When it turns into a death.
+    /// When the member is declared dead.
     pub(super) deadline: Timestamp,
 }
 
 /// The members at one distance, in the random order in which they are probed.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Rotation {
-    /// The places, in the order of the present round.
+    /// The slots of the members, in the order of the current round.
     pub(super) slots: Vec<Slot>,
-    /// The next one to probe.
+    /// The index in `slots` of the next member to probe.
     pub(super) next: usize,
 }
 
@@ -69,11 +69,11 @@
     pub(super) unconfirmed: Vec<UnconfirmedFailure>,
     pub(super) suspicions: Vec<Suspicion>,
     pub(super) last_probe_number: u32,
-    /// 0 is healthy; each step makes this node more patient with others.
+    /// The local health score of Lifeguard: 0 is healthy, and each point makes timeouts longer.
     pub(super) health_score: u32,
 }
 
-/// The time between two probes at this distance.
+/// Returns the interval between probes at this distance.
 pub(super) fn probe_interval(config: &MembershipConfig, distance: ZoneDistance) -> Duration {
     match distance {
         ZoneDistance::OwnZone => config.own_zone_probe_interval,
@@ -83,7 +83,8 @@
 }
 
 impl Detection {
-    /// No probes yet; the first of each distance leaves at a random moment of its interval.
+    /// Creates the state before the first probes; for each distance, the first is due at a random
+    /// time within its interval.
     pub(super) fn new(config: &MembershipConfig, random: &mut SmallRng) -> Self {
         let next_probe = ZoneDistance::ALL.map(|distance| {
             let micros = probe_interval(config, distance).as_micros() as u64;
@@ -100,7 +101,8 @@
         }
     }
 
-    /// Drops every observation that a pause of this node has made worthless.
+    /// Discards the observations that are invalid after a pause of this node, and gives suspected
+    /// members the longest timeout from now on.
     pub(super) fn restart(&mut self, now: Timestamp, config: &MembershipConfig) {
         self.health_score = MAX_HEALTH_SCORE;
         self.pending.clear();
@@ -111,7 +113,7 @@
         }
     }
 
-    /// When something is due next.
+    /// Returns when the next probe, timeout or suspicion is due.
     pub(super) fn next_deadline(
         &self,
         table: &MemberTable,
@@ -136,7 +138,7 @@
             .unwrap_or(Timestamp::from_micros(u64::MAX))
     }
 
-    /// The bytes of its lists.
+    /// Returns the memory that the lists take, in bytes.
     pub(super) fn memory_bytes(&self) -> usize {
         let slots: usize = self
             .rotations
@@ -149,17 +151,17 @@
             + self.suspicions.capacity() * size_of::<Suspicion>()
     }
 
-    /// A timeout stretched by the local health score.
+    /// Returns the timeout, lengthened according to the local health score.
     pub(super) fn scaled_timeout(&self, timeout: Duration) -> Duration {
         timeout * (1 + self.health_score)
     }
 
-    /// Notes a failed probe: the fault may be this node's own.
+    /// Records a failed probe: the fault may lie with this node.
     pub(super) fn record_failure(&mut self) {
         self.health_score = (self.health_score + 1).min(MAX_HEALTH_SCORE);
     }
 
-    /// Notes an answered probe.
+    /// Records an answered probe.
     pub(super) fn record_success(&mut self) {
         self.health_score = self.health_score.saturating_sub(1);
     }
--- a/crates/spurpier-core/src/membership/dissemination.rs
+++ b/crates/spurpier-core/src/membership/dissemination.rs
@@ -1,10 +1,10 @@
-//! Statements that wait to be passed on with other messages.
+//! The queue of updates that are piggybacked on other messages.
 
 use std::collections::VecDeque;
 
 use super::message::MemberUpdate;
 
-/// A statement and how often it has been passed on.
+/// An update, its encoded size and how often it has been sent.
 #[derive(Debug, Clone)]
 struct QueuedUpdate {
     update: MemberUpdate,
@@ -12,10 +12,10 @@
     sends: usize,
 }
 
-/// The statements that this node still passes on.
+/// The updates that this node still disseminates.
 ///
-/// Suspicions, refutations and departures are short and go first; joins carry an identity and
-/// take the room that is left. Within each kind the least often sent go first.
+/// Suspicions, refutations and departures are short and are sent first. Joins carry an identity
+/// and use the bytes that remain. Within each kind, the updates sent least often come first.
 #[derive(Debug, Clone, Default)]
 pub(super) struct DisseminationQueue {
     short: VecDeque<QueuedUpdate>,
@@ -23,7 +23,7 @@
 }
 
 impl DisseminationQueue {
-    /// Adds a statement; it takes the place of an older one about the same member.
+    /// Adds an update; it replaces a queued one about the same member.
     pub(super) fn push(&mut self, update: MemberUpdate) {
         for queue in [&mut self.short, &mut self.joins] {
             queue.retain(|queued| queued.update.key != update.key);
@@ -40,7 +40,8 @@
         });
     }
 
-    /// Takes statements of at most `budget` bytes; each is given out `send_limit` times in all.
+    /// Returns updates of at most `budget` bytes to send now; each update is returned at most
+    /// `send_limit` times in total.
     pub(super) fn take(&mut self, budget: usize, send_limit: usize) -> Vec<MemberUpdate> {
         let mut taken = Vec::new();
         let remaining = take_from(&mut self.short, budget, send_limit, &mut taken);
@@ -48,19 +49,21 @@
         taken
     }
 
-    /// How many short statements wait.
+    /// Returns how many short updates are queued.
     pub(super) fn short_update_count(&self) -> usize {
         self.short.len()
     }
 
-    /// The bytes that the queue holds, identities not counted: they belong to the member table.
+    /// Returns the memory that the queue takes, in bytes. Identities are not included, because
+    /// they are shared with the member table.
     pub(super) fn memory_bytes(&self) -> usize {
         (self.short.capacity() + self.joins.capacity()) * size_of::<QueuedUpdate>()
     }
 }
 
-/// Takes statements from the front and puts those that are to be sent again to the back; gives
-/// the bytes that are left.
+/// Takes updates from the front of the queue and appends those that are to be sent again.
+///
+/// Returns the bytes of the budget that remain.
 fn take_from(
     queue: &mut VecDeque<QueuedUpdate>,
     budget: usize,
--- a/crates/spurpier-core/src/membership/event.rs
+++ b/crates/spurpier-core/src/membership/event.rs
@@ -1,4 +1,4 @@
-//! What the membership machine takes in and gives out.
+//! The events and actions of the membership state machine.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,61 +8,61 @@
 use super::status::{MemberState, MemberStatus};
 use crate::identity::{NodeName, ZoneName};
 
-/// A proxy machine in the platform's list.
+/// An entry of the platform's list of live proxies.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ListedMachine {
-    /// The node's name.
+    /// The name of the node.
     pub name: NodeName,
-    /// Its zone.
+    /// The zone in which it runs.
     pub zone: ZoneName,
-    /// Its gossip address.
+    /// The address at which it receives gossip datagrams.
     pub gossip: SocketAddr,
 }
 
-/// What happens to the membership of a node.
+/// An input of the membership state machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MembershipEvent {
-    /// The time of [`super::Membership::next_deadline`] has come (or any other time).
+    /// Time has passed; due at [`super::Membership::next_deadline`] at the latest, allowed earlier.
     Tick,
-    /// A message arrived.
+    /// A message arrived from another node.
     Received {
-        /// The node that sent it, by its own word.
+        /// The key of the sender as the message states it; not verified.
         sender: NodeKey,
-        /// The gossip address that it came from; none when it came over a connection.
+        /// The address that the datagram came from; `None` if it came over a connection.
         from: Option<SocketAddr>,
-        /// The message.
+        /// The decoded message.
         message: MembershipMessage,
     },
     /// The platform's list of live proxies was read; it may be out of date.
     MachineList(Vec<ListedMachine>),
-    /// This node will stop and takes no new work.
+    /// This node will stop and accepts no new work.
     Leave,
     /// This node stops now.
     Stop,
 }
 
-/// How a message travels.
+/// The transport of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Transport {
-    /// One datagram to the gossip address; it may be lost.
+    /// A single datagram to the gossip address; it may be lost.
     Datagram,
-    /// The connection to the internal address, for messages too large for a datagram.
+    /// The TCP connection to the internal address, for messages too large for a datagram.
     Stream,
 }
 
-/// Where a message goes.
+/// The destination of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Destination {
-    /// The node; none when only its address is known.
+    /// The key of the receiver; `None` if only its address is known.
     pub key: Option<NodeKey>,
-    /// The gossip or the internal address, as the transport needs it.
+    /// The gossip address for a datagram, the internal address for a stream.
     pub address: SocketAddr,
-    /// How the message travels.
+    /// The transport to use.
     pub transport: Transport,
 }
 
 impl Destination {
-    /// The destination for a datagram to this member.
+    /// Returns the destination of a datagram to this member.
     pub fn datagram(identity: &MemberIdentity) -> Self {
         Destination {
             key: Some(identity.key()),
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The destination for a large message to this member.
+    /// Returns the destination of a message over a connection to this member.
     pub fn stream(identity: &MemberIdentity) -> Self {
         Destination {
             key: Some(identity.key()),
@@ -81,41 +81,42 @@
     }
 }
 
-/// A change of the view.
+/// A change of this node's view of the cluster.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MemberChange {
-    /// A member was added.
+    /// A member was added to the view.
     Joined(Arc<MemberIdentity>),
-    /// What is said of a member changed, and it has not gone.
+    /// The state of a member changed, and the member stays in the view.
     StateChanged {
-        /// The member.
+        /// The member whose state changed.
         identity: Arc<MemberIdentity>,
-        /// What was said of it.
+        /// Its previous state.
         before: MemberState,
-        /// What is said of it now.
+        /// Its new state.
         after: MemberState,
     },
-    /// A member was removed: dead, or stopped by its own word.
+    /// A member was removed from the view because it died or stopped.
     Gone {
-        /// The member.
+        /// The member that was removed.
         identity: Arc<MemberIdentity>,
-        /// Why.
+        /// [`MemberStatus::Dead`] or [`MemberStatus::Left`].
         status: MemberStatus,
     },
 }
 
-/// What the caller has to do.
+/// An output of the membership state machine, to be carried out by the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MembershipAction {
     /// Send a message.
     Send {
-        /// Where to.
+        /// The receiver and the transport.
         to: Destination,
-        /// The message.
+        /// The message to send.
         message: MembershipMessage,
     },
-    /// The view has changed.
+    /// Report a change of the view to other parts of the node.
     MemberChanged(MemberChange),
-    /// This node began to suspect a member after its own probes failed.
+    /// Report that this node's own probes made it suspect a member. A suspicion that another node
+    /// raised is reported as [`MembershipAction::MemberChanged`] only.
     SuspicionRaised(NodeKey),
 }
--- a/crates/spurpier-core/src/membership/identity.rs
+++ b/crates/spurpier-core/src/membership/identity.rs
@@ -1,4 +1,4 @@
-//! Who a member is: its name, its place and its addresses.
+//! The identity of a member: its name, locality and addresses.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -9,15 +9,15 @@
 use crate::identity::{NodeName, RegionName, ZoneName};
 use crate::wire::{decode_address, decode_text, encode_address, encode_text};
 
-/// A short key of a node: the xxh3-64 of its name.
+/// A short key of a node: the xxh3-64 hash of its name.
 ///
 /// Messages and tables carry keys in place of names. Among 10,000 names the chance that any two
-/// share a key is below one in 10^11; the node that joins later is then refused.
+/// share a key is below one in 10^11; two such nodes would be taken for incarnations of one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct NodeKey(pub u64);
 
 impl NodeKey {
-    /// The key of the node with this name.
+    /// Returns the key of the node with this name.
     pub fn of(name: &NodeName) -> Self {
         NodeKey(xxh3_64(name.as_str().as_bytes()))
     }
@@ -29,39 +29,40 @@
     }
 }
 
-/// Where a node is reached.
+/// The addresses at which a node is reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct MemberAddresses {
-    /// Gossip datagrams (UDP).
+    /// Receives gossip datagrams (UDP).
     pub gossip: SocketAddr,
-    /// Forwarded work and large control messages (TCP).
+    /// Receives forwarded requests and large control messages (TCP).
     pub internal: SocketAddr,
-    /// PostgreSQL clients (TCP).
+    /// Accepts PostgreSQL clients (TCP).
     pub postgres: SocketAddr,
 }
 
-/// What never changes while a node lives.
+/// The properties of a node that stay the same for one incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct MemberIdentity {
-    /// The name, unique among living nodes.
+    /// The node's name, unique among live nodes.
     pub name: NodeName,
-    /// The zone.
+    /// The zone in which the node runs.
     pub zone: ZoneName,
-    /// The region of the zone.
+    /// The region that contains the zone.
     pub region: RegionName,
-    /// The addresses.
+    /// The addresses at which other nodes and clients reach it.
     pub addresses: MemberAddresses,
 }
 
 impl MemberIdentity {
-    /// The node's key.
+    /// Returns the key derived from the node's name.
     pub fn key(&self) -> NodeKey {
         NodeKey::of(&self.name)
     }
 
-    /// The bytes that this value holds in a real node: itself and its texts with their headers.
+    /// Estimates the memory that this value takes behind an [`Arc`](std::sync::Arc), in bytes: the
+    /// struct and its three shared strings, each with its reference counts.
     pub fn memory_bytes(&self) -> usize {
-        /// The reference counts in front of a shared value.
+        /// The strong and the weak count in front of a shared value.
         const REFERENCE_COUNT_BYTES: usize = 2 * size_of::<usize>();
         let texts =
             self.name.as_str().len() + self.zone.as_str().len() + self.region.as_str().len();
--- a/crates/spurpier-core/src/membership/joining.rs
+++ b/crates/spurpier-core/src/membership/joining.rs
@@ -1,4 +1,4 @@
-//! Joining by a seed, and admitting those who join.
+//! Joins the cluster through a seed, and admits joining nodes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,21 +13,21 @@
 use crate::time::Timestamp;
 use crate::wire::List;
 
-/// The least time between two whole views that this node sends to joining nodes.
+/// The minimum interval between two whole views that this node sends to joining nodes.
 const ADMISSION_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How far this node has got with joining.
+/// The progress of this node's own join.
 #[derive(Debug, Clone)]
 pub(super) struct JoinProgress {
     pub(super) seeds: Vec<SocketAddr>,
     next_try: Timestamp,
     wait: Duration,
-    /// Whether the whole view was received.
+    /// Whether the whole view was received (or preloaded).
     pub(super) finished: bool,
 }
 
 impl JoinProgress {
-    /// Not joined; the first try is due at once.
+    /// Creates the state of a node that has not joined; its first attempt is due immediately.
     pub(super) fn new(seeds: Vec<SocketAddr>, wait: Duration) -> Self {
         JoinProgress {
             seeds,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// When the next try is due, if there is one.
+    /// Returns when the next attempt is due; `None` after the join or without seeds.
     pub(super) fn next_deadline(&self) -> Option<Timestamp> {
         let waiting = !self.finished && !self.seeds.is_empty();
         waiting.then_some(self.next_try)
@@ -45,7 +45,7 @@
 }
 
 impl Membership {
-    /// Takes a new node into the view and sends it the whole of it.
+    /// Adds a joining node to the view and sends it the whole view.
     pub(super) fn admit(&mut self, now: Timestamp, update: MemberUpdate) {
         let Some(identity) = update.identity.clone() else {
             return;
@@ -71,7 +71,8 @@
         self.send(Destination::stream(&identity), message);
     }
 
-    /// What a joining node must hear if an earlier life of its name counts as departed.
+    /// Returns the update that a joining node has to refute if an earlier incarnation of its name
+    /// is recorded as departed.
     fn departed_update(&self, key: NodeKey) -> Option<MemberUpdate> {
         let state = self.table.departed(key)?;
         Some(MemberUpdate {
@@ -89,13 +90,13 @@
         self.join.finished = true;
         if !was_joined {
             self.sync.allow_quick_syncs(now);
-            // The statements of the view are known to the others already.
+            // The other nodes already know the updates in the view.
             self.queue = DisseminationQueue::default();
             self.disseminate_own_state(Some(self.identity.clone()));
         }
     }
 
-    /// Tries to join by the next seed when it is time.
+    /// Sends a join to a random seed if an attempt is due.
     pub(super) fn retry_join(&mut self, now: Timestamp) {
         let due = self.join.next_deadline().is_some_and(|next| next <= now);
         if !due {
--- a/crates/spurpier-core/src/membership/machine.rs
+++ b/crates/spurpier-core/src/membership/machine.rs
@@ -1,4 +1,4 @@
-//! The membership state machine: events in, actions out.
+//! The membership state machine, which turns events into actions.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,10 +21,13 @@
 use crate::time::Timestamp;
 use crate::wire::List;
 
-/// To how many members a node that leaves or refutes says so at once.
+/// How many members are sent a change of this node's own state directly.
 const ANNOUNCE_FAN_OUT: usize = 4;
 
-/// The view that one node has of all others, and the protocol that keeps it.
+/// One node's view of the cluster, and the protocol that keeps it up to date.
+///
+/// It does no I/O: the caller passes in events with the current time, carries out the returned
+/// actions, and sends a [`MembershipEvent::Tick`] by each [`Membership::next_deadline`].
 #[derive(Debug, Clone)]
 pub struct Membership {
     pub(super) identity: Arc<MemberIdentity>,
@@ -42,9 +45,10 @@
 }
 
 impl Membership {
-    /// A node that knows only itself and the gossip addresses to join by.
+    /// Creates a node that knows only itself and the gossip addresses through which to join.
     ///
-    /// The incarnation must be higher than in any earlier life of a node of this name.
+    /// The incarnation must be higher than any earlier one of a node of this name. The seed
+    /// initialises the generator of all random choices.
     pub fn new(
         identity: Arc<MemberIdentity>,
         incarnation: u64,
@@ -80,7 +84,8 @@
         }
     }
 
-    /// Fills the view with members known from elsewhere, without a word to anyone.
+    /// Adds live members known from elsewhere, each with its incarnation, without sending any
+    /// message; the node then counts as joined.
     pub fn preload(&mut self, members: impl IntoIterator<Item = (Arc<MemberIdentity>, u64)>) {
         for (identity, incarnation) in members {
             let key = identity.key();
@@ -91,7 +96,7 @@
         self.join.finished = true;
     }
 
-    /// Takes an event at time `now` and gives what is to be done.
+    /// Handles an event at time `now` and returns the actions to carry out.
     pub fn handle(&mut self, now: Timestamp, event: MembershipEvent) -> Vec<MembershipAction> {
         self.detect_freeze(now);
         match event {
@@ -109,7 +114,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// When [`MembershipEvent::Tick`] is due at the latest.
+    /// Returns when [`MembershipEvent::Tick`] is due at the latest.
     pub fn next_deadline(&self) -> Timestamp {
         let detection = self.detection.next_deadline(&self.table, &self.config);
         match self.join.next_deadline() {
@@ -118,17 +123,17 @@
         }
     }
 
-    /// This node's own key.
+    /// Returns the key of this node.
     pub fn key(&self) -> NodeKey {
         self.key
     }
 
-    /// This node's own identity.
+    /// Returns the identity of this node.
     pub fn identity(&self) -> &Arc<MemberIdentity> {
         &self.identity
     }
 
-    /// What this node says of itself.
+    /// Returns the state that this node reports of itself.
     pub fn state(&self) -> MemberState {
         self.state
     }
@@ -138,23 +143,24 @@
         self.join.finished
     }
 
-    /// The other members.
+    /// Returns the table of the other members.
     pub fn members(&self) -> &MemberTable {
         &self.table
     }
 
-    /// What is known of another member.
+    /// Returns another member, if it is known.
     pub fn member(&self, key: NodeKey) -> Option<MemberView> {
         self.table.get(key)
     }
 
-    /// The digest of the view; equal digests mean equal views, suspicions aside.
+    /// Returns the digest of the view, this node included. Nodes with equal digests have equal
+    /// views, except for suspicions.
     pub fn view_digest(&self) -> u64 {
         use super::table::state_digest;
         self.table.digest() ^ state_digest(self.key, self.state)
     }
 
-    /// The bytes of state that this node holds for membership.
+    /// Estimates the memory that this node takes for membership, in bytes.
     pub fn memory_bytes(&self) -> usize {
         size_of::<Self>() - size_of::<MemberTable>()
             + self.table.memory_bytes()
@@ -163,9 +169,9 @@
             + self.identity.memory_bytes()
     }
 
-    /// Members chosen at random for messages of other parts of the node.
+    /// Picks random members as receivers for messages of other protocols.
     ///
-    /// Gives up to `own_zone` usable members of the own zone and up to `others` of other zones.
+    /// Returns up to `own_zone` usable members of the own zone and up to `others` of other zones.
     pub fn random_peers(&mut self, own_zone: usize, others: usize) -> Vec<Arc<MemberIdentity>> {
         let mut peers = Vec::with_capacity(own_zone + others);
         self.pick_members(own_zone, &mut peers, |table, member| {
@@ -177,14 +183,14 @@
         peers
     }
 
-    /// Picks up to `count` random members that satisfy `accept`, none twice.
+    /// Adds up to `count` random members that satisfy `accept` to `picked`, none twice.
     pub(super) fn pick_members(
         &mut self,
         count: usize,
         picked: &mut Vec<Arc<MemberIdentity>>,
         accept: impl Fn(&MemberTable, &super::table::Member) -> bool,
     ) {
-        /// Random places looked at for each member wanted.
+        /// Random slots tried for each requested member.
         const TRIES_PER_MEMBER: usize = 24;
         let slots = self.table.slot_count();
         let wanted = picked.len() + count;
@@ -226,7 +232,7 @@
         }
     }
 
-    /// What this node says of itself, with its identity.
+    /// Returns an update with this node's own state and identity.
     pub(super) fn own_update(&self) -> MemberUpdate {
         MemberUpdate {
             key: self.key,
@@ -235,7 +241,7 @@
         }
     }
 
-    /// Says something new of itself, to a few members at once and to the rest by gossip.
+    /// Announces a later status of this node; an earlier or equal one is ignored.
     fn announce(&mut self, status: MemberStatus) {
         if status <= self.state.status {
             return;
@@ -244,7 +250,8 @@
         self.disseminate_own_state(None);
     }
 
-    /// Passes the own state on, with the identity for those that may not know it.
+    /// Sends the own state to a few members directly and to the others by gossip, with the
+    /// identity if receivers may not know it.
     pub(super) fn disseminate_own_state(&mut self, identity: Option<Arc<MemberIdentity>>) {
         let update = MemberUpdate {
             identity,
@@ -263,12 +270,13 @@
         self.actions.push(MembershipAction::Send { to, message });
     }
 
-    /// A duration with up to a tenth added or taken off, so that nodes do not act in step.
+    /// Returns the duration with up to 10% jitter either way, so that nodes do not synchronise.
     pub(super) fn jittered(&mut self, duration: Duration) -> Duration {
         jittered(&mut self.random, duration)
     }
 
-    /// After a pause in which this node did not run, its own old observations mean nothing.
+    /// Detects a pause in which this process did not run, and discards the observations from
+    /// before: nodes that seem silent may have answered in the meantime.
     fn detect_freeze(&mut self, now: Timestamp) {
         let paused = self
             .last_event
@@ -291,7 +299,7 @@
     }
 }
 
-/// A duration with up to a tenth added or taken off.
+/// Returns the duration with up to 10% jitter either way.
 pub(super) fn jittered(random: &mut SmallRng, duration: Duration) -> Duration {
     let micros = duration.as_micros() as u64;
     let tenth = micros / 10;
--- a/crates/spurpier-core/src/membership/machine_list.rs
+++ b/crates/spurpier-core/src/membership/machine_list.rs
@@ -1,4 +1,4 @@
-//! What the platform's list of machines is used for.
+//! Uses the platform's list of machines: for joining, and to remove silent members.
 
 use std::net::SocketAddr;
 
@@ -12,7 +12,8 @@
 use crate::time::Timestamp;
 
 impl Membership {
-    /// Uses the platform's list: as seeds, and to drop silent members that it lacks.
+    /// Adds the listed machines to the seeds until this node has joined, joins through a listed
+    /// node that is unknown here, and removes silent members that the list lacks.
     pub(super) fn handle_machine_list(&mut self, now: Timestamp, machines: &[ListedMachine]) {
         let others: Vec<&ListedMachine> = machines
             .iter()
@@ -30,7 +31,8 @@
         self.remove_unlisted(now, &others);
     }
 
-    /// Joins by one listed node that is in nobody's view here: it may belong to a separate part.
+    /// Sends a join to one listed node that the view lacks: it may belong to a part of the cluster
+    /// that formed separately.
     fn join_through_unknown(&mut self, machines: &[&ListedMachine]) {
         let unknown: Vec<SocketAddr> = machines
             .iter()
@@ -47,7 +49,7 @@
         self.send_join(unknown[chosen]);
     }
 
-    /// Drops silent members that the lists have lacked for longer than they can lag.
+    /// Removes silent members that the list has lacked for longer than it can lag behind.
     fn remove_unlisted(&mut self, now: Timestamp, machines: &[&ListedMachine]) {
         if machines.is_empty() {
             return;
@@ -89,7 +91,7 @@
     }
 }
 
-/// Since when the lists have lacked a member; the entries are sorted by key.
+/// Returns since when the list has lacked a member; the entries are sorted by key.
 fn first_absent(entries: &[(NodeKey, Timestamp)], key: NodeKey) -> Option<Timestamp> {
     let index = entries.binary_search_by_key(&key, |entry| entry.0).ok()?;
     Some(entries[index].1)
--- a/crates/spurpier-core/src/membership/merge.rs
+++ b/crates/spurpier-core/src/membership/merge.rs
@@ -1,4 +1,4 @@
-//! Taking in statements about members.
+//! Merges updates about members into the view.
 
 use std::sync::Arc;
 
@@ -10,11 +10,11 @@
 use crate::time::Timestamp;
 use crate::wire::List;
 
-/// Identities asked for at most in one message.
+/// The maximum number of identities requested in one message.
 const MAX_IDENTITIES_PER_REQUEST: usize = 64;
 
 impl Membership {
-    /// Takes in statements from a peer, and asks it for the identities that are missing.
+    /// Merges updates from a peer, and requests the identities that are missing from it.
     pub(super) fn merge(
         &mut self,
         now: Timestamp,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Takes in one statement; false when it is about a living node without known identity.
+    /// Merges one update; returns false if it reports a live member whose identity is unknown.
     fn merge_update(&mut self, now: Timestamp, update: &MemberUpdate) -> bool {
         if update.key == self.key {
             self.refute_if_newer(update.state);
@@ -81,7 +81,7 @@
         true
     }
 
-    /// Applies a statement about a known member if it is newer than what is known.
+    /// Replaces the state of a known member if the new state is greater.
     pub(super) fn apply_state(
         &mut self,
         now: Timestamp,
@@ -140,19 +140,20 @@
         self.actions.push(MembershipAction::MemberChanged(change));
     }
 
-    /// Refutes a suspicion or a death of this living node with a higher incarnation.
+    /// Refutes a newer state reported about this node with a higher incarnation.
     fn refute_if_newer(&mut self, reported: MemberState) {
         let stopped = self.state.status == MemberStatus::Left;
         if stopped || reported <= self.state {
             return;
         }
         self.state.incarnation = reported.incarnation.saturating_add(1);
-        // Who removed this node has forgotten its identity; who suspects it knows it still.
+        // Nodes that removed this one no longer have its identity; nodes that suspect it do.
         let identity = reported.status.is_gone().then(|| self.identity.clone());
         self.disseminate_own_state(identity);
     }
 
-    /// Statements to put into a message for this peer: first what it must know of itself.
+    /// Returns the updates to piggyback on a message to this peer, with the one that it has to
+    /// refute, if any.
     pub(super) fn updates_for(&mut self, peer: NodeKey) -> Vec<MemberUpdate> {
         let adverse = self.adverse_update_about(peer);
         let send_limit = self.config.retransmit_factor * self.cluster_doublings() as usize;
@@ -164,7 +165,8 @@
         updates
     }
 
-    /// What a peer must hear of itself: that it is suspected here or counts as departed.
+    /// Returns the update that a peer has to refute: that this node suspects it or recorded its
+    /// departure.
     fn adverse_update_about(&self, peer: NodeKey) -> Option<MemberUpdate> {
         let suspected = self
             .table
--- a/crates/spurpier-core/src/membership/message.rs
+++ b/crates/spurpier-core/src/membership/message.rs
@@ -1,4 +1,4 @@
-//! The messages by which nodes keep their views of each other.
+//! The messages of the membership protocol.
 
 use std::sync::Arc;
 
@@ -8,19 +8,19 @@
 use super::status::MemberState;
 use crate::wire::List;
 
-/// A statement about one member, passed from node to node.
+/// The state of one member, passed from node to node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemberUpdate {
-    /// The member.
+    /// The key of the member.
     pub key: NodeKey,
-    /// What is said of it.
+    /// The reported state.
     pub state: MemberState,
-    /// Who it is, for receivers that do not know it yet.
+    /// The member's identity, for receivers that do not know it yet.
     pub identity: Option<Arc<MemberIdentity>>,
 }
 
 impl MemberUpdate {
-    /// The encoded size, in bytes.
+    /// Returns the encoded size, in bytes.
     pub fn encoded_bytes(&self) -> usize {
         self.serialize_bin().len()
     }
@@ -57,55 +57,57 @@
 /// A message of the membership protocol.
 #[derive(Debug, Clone, PartialEq, Eq, SerBin, DeBin)]
 pub enum MembershipMessage {
-    /// Asks for an [`MembershipMessage::Ack`].
+    /// Asks the receiver for a [`MembershipMessage::Ack`].
     Probe {
-        /// The number of the probe at its sender.
+        /// The sequence number of the probe at its sender.
         number: u32,
         /// The digest of the sender's view.
         view_digest: u64,
-        /// Statements passed on.
+        /// Updates that the sender disseminates.
         updates: List<MemberUpdate>,
     },
     /// Answers a probe.
     Ack {
-        /// The number of the probe.
+        /// The sequence number of the probe.
         number: u32,
         /// The digest of the sender's view.
         view_digest: u64,
-        /// Statements passed on.
+        /// Updates that the sender disseminates.
         updates: List<MemberUpdate>,
     },
-    /// Asks the receiver to probe another node.
+    /// Asks the receiver to probe another node on behalf of the sender.
     IndirectProbe {
-        /// The number of the asker's own probe.
+        /// The sequence number of the sender's own probe to the target.
         number: u32,
-        /// The node to be probed.
+        /// The node to probe.
         target: NodeKey,
     },
-    /// Tells the asker that the target answered the receiver's probe.
+    /// Reports to the requester of an indirect probe that the target answered.
     IndirectAck {
-        /// The number in the indirect probe.
+        /// The sequence number from the indirect probe.
         number: u32,
         /// The node that answered.
         target: NodeKey,
     },
-    /// Statements alone: a joining, refuting or stopping node, or an answer to a request.
+    /// Updates alone: sent by a node that has joined, refutes a report, leaves or stops, or as the
+    /// answer to a [`MembershipMessage::IdentityRequest`].
     Updates(List<MemberUpdate>),
-    /// A new node announces itself and asks for the whole view.
+    /// Announces a new node and asks for the whole view.
     Join(MemberUpdate),
-    /// The whole view, as answer to a join.
+    /// The whole view, in answer to [`MembershipMessage::Join`].
     FullView(List<MemberUpdate>),
-    /// Asks for the identities of these nodes; a node asked for its own key announces itself.
+    /// Asks for the identities of these nodes; the receiver's own key may be among them.
     IdentityRequest(List<NodeKey>),
-    /// The sender's digest of each part of the view; asks for the parts that differ.
+    /// The sender's digest of each bucket of the view, in order; asks for the states in the
+    /// buckets that differ.
     BucketDigests(List<u64>),
-    /// The sender's states in some parts of the view.
+    /// The sender's states in some buckets of the view.
     BucketStates {
-        /// The parts.
+        /// The indexes of the buckets.
         buckets: List<u8>,
-        /// All members that the sender knows in them.
+        /// All members in these buckets that the sender knows, departed ones included.
         states: List<MemberUpdate>,
-        /// Whether the receiver is asked for its own states of the same parts.
+        /// Whether the receiver is to reply with its own states in the same buckets.
         reply_requested: bool,
     },
 }
--- a/crates/spurpier-core/src/membership/mod.rs
+++ b/crates/spurpier-core/src/membership/mod.rs
@@ -1,9 +1,10 @@
-//! Which nodes live, where, and which of them can be reached.
+//! Cluster membership: which nodes are alive, in which zone, and which zones can be reached.
 //!
-//! Each node probes a few others at a fixed rate, whatever the number of nodes. Only nodes of the
-//! same zone raise suspicions (nodes of any zone where a zone is very small), so a zone that is
-//! cut off stays together. Suspicions, joins and departures ride on the probes; digests of the
-//! view repair what is lost. `docs/design/0008-membership.md` gives the reasons.
+//! The protocol is a variant of SWIM. Each node probes a few others at a fixed rate, whatever the
+//! size of the cluster. Only nodes of the same zone raise suspicions (nodes of any zone where the
+//! zone is very small), so that the nodes of a zone that is cut off keep each other as members.
+//! Suspicions, joins and departures are piggybacked on the probes. Anti-entropy by digests of the
+//! view repairs updates that were lost. `docs/design/0008-membership.md` gives the rationale.
 
 mod config;
 mod detection;
--- a/crates/spurpier-core/src/membership/probing.rs
+++ b/crates/spurpier-core/src/membership/probing.rs
@@ -1,4 +1,4 @@
-//! Sending probes, and what becomes of them.
+//! Sends probes and handles their answers and timeouts.
 
 use std::sync::Arc;
 
@@ -16,7 +16,7 @@
 use crate::wire::List;
 
 impl Membership {
-    /// Adds a new member to the present round of probes, at a random place.
+    /// Adds a new member to the current round of probes, at a random position.
     pub(super) fn add_to_rotation(&mut self, slot: Slot) {
         let Some(member) = self.table.at(slot) else {
             return;
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Probes a node in another node's place.
+    /// Sends an indirect probe on behalf of another node.
     pub(super) fn probe_on_behalf(
         &mut self,
         now: Timestamp,
@@ -59,7 +59,7 @@
         self.probe(now, &identity, Some((requester, number)));
     }
 
-    /// Notes that a member answered the probe with this number.
+    /// Records that a member answered the probe with this sequence number.
     pub(super) fn record_probe_answer(&mut self, now: Timestamp, sender: NodeKey, number: u32) {
         let found = self
             .detection
@@ -74,14 +74,14 @@
         }
     }
 
-    /// Notes that another node got an answer from the target of an own probe.
+    /// Records that another node received an answer from the target of this node's probe.
     pub(super) fn record_indirect_answer(&mut self, number: u32, target: NodeKey) {
         self.detection
             .pending
             .retain(|probe| probe.number != number || probe.target != target);
     }
 
-    /// Asks others where a direct probe is late, and gives up on probes that took too long.
+    /// Requests indirect probes where the answer is late, and fails probes that timed out.
     pub(super) fn expire_probes(&mut self, now: Timestamp) {
         let direct = self
             .detection
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Asks a few nodes of the target's zone, and one of another zone, to probe the target.
+    /// Asks some nodes of the target's zone, and one of another zone, to probe the target.
     fn request_indirect_probes(&mut self, number: u32, target: NodeKey) {
         let Some(zone) = self.table.find(target).map(|member| member.zone) else {
             return;
@@ -185,7 +185,7 @@
         self.send(Destination::datagram(target), message);
     }
 
-    /// The next member to probe at this distance, in an order shuffled anew for each round.
+    /// Returns the next member to probe at this distance; each round has a new random order.
     fn next_target(&mut self, distance: ZoneDistance) -> Option<Arc<MemberIdentity>> {
         let mut rotation = std::mem::take(&mut self.detection.rotations[distance.index()]);
         let mut target = next_in_rotation(&mut rotation, &self.table, distance);
--- a/crates/spurpier-core/src/membership/receive.rs
+++ b/crates/spurpier-core/src/membership/receive.rs
@@ -1,4 +1,4 @@
-//! The dispatch of received messages.
+//! Dispatches received messages.
 
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
 use crate::wire::List;
 
 impl Membership {
-    /// Takes in a message.
+    /// Handles a message from another node; ignored once this node has stopped.
     pub(super) fn handle_message(
         &mut self,
         now: Timestamp,
--- a/crates/spurpier-core/src/membership/status.rs
+++ b/crates/spurpier-core/src/membership/status.rs
@@ -1,27 +1,29 @@
-//! What is said of a member, and which of two statements wins.
+//! The state of a member as updates report it, and which of two states wins.
 
 use nanoserde::{DeBin, SerBin};
 
-/// What is said of one life of a member.
+/// The status of one incarnation of a member.
+///
+/// The variants are ordered: within an incarnation, a later variant replaces an earlier one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub enum MemberStatus {
-    /// It takes work.
+    /// It accepts work.
     Alive,
-    /// It takes work but did not answer probes.
+    /// It accepts work, but probes to it went unanswered.
     Suspect,
-    /// It has said that it will stop and takes no new work.
+    /// It has announced that it will stop, and accepts no new work.
     Leaving,
-    /// It has said that it will stop and did not answer probes.
+    /// It has announced that it will stop, and probes to it went unanswered.
     SuspectLeaving,
-    /// It was found dead by others; a node that is wrongly found dead comes back with a higher
+    /// Other nodes declared it dead. A live node that was declared dead returns with a higher
     /// incarnation.
     Dead,
-    /// It has stopped by its own word.
+    /// It has announced that it stopped.
     Left,
 }
 
 impl MemberStatus {
-    /// Whether the member has gone, dead or stopped.
+    /// Whether the member is no longer part of the cluster: dead or stopped.
     pub fn is_gone(self) -> bool {
         matches!(self, MemberStatus::Dead | MemberStatus::Left)
     }
@@ -31,12 +33,12 @@
         matches!(self, MemberStatus::Suspect | MemberStatus::SuspectLeaving)
     }
 
-    /// Whether the member takes no new work by its own word.
+    /// Whether the member has announced that it will stop.
     pub fn is_leaving(self) -> bool {
         matches!(self, MemberStatus::Leaving | MemberStatus::SuspectLeaving)
     }
 
-    /// The same statement with a suspicion added.
+    /// Returns the status with a suspicion added; unchanged if the member is suspected or gone.
     pub fn with_suspicion(self) -> MemberStatus {
         match self {
             MemberStatus::Alive => MemberStatus::Suspect,
@@ -45,7 +47,7 @@
         }
     }
 
-    /// The same statement with the suspicion taken off.
+    /// Returns the status without the suspicion; unchanged if the member is not suspected.
     pub fn without_suspicion(self) -> MemberStatus {
         match self {
             MemberStatus::Suspect => MemberStatus::Alive,
@@ -55,20 +57,20 @@
     }
 }
 
-/// A statement about a member: states are ordered by incarnation, then by status.
+/// The state of a member, ordered by incarnation and then by status.
 ///
-/// Merging two views takes the greater state of each member, so that the order in which
-/// statements arrive does not matter and none is applied twice.
+/// Merging two views keeps the greater state of each member, so that the result does not depend
+/// on the order in which updates arrive or on how often each arrives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct MemberState {
-    /// The number of the member's life; the member alone raises it.
+    /// The number of the member's incarnation; only the member itself raises it.
     pub incarnation: u64,
-    /// What is said of that life.
+    /// The status of that incarnation.
     pub status: MemberStatus,
 }
 
 impl MemberState {
-    /// The state of a member that lives with this incarnation.
+    /// Returns the state of a live member with this incarnation.
     pub const fn alive(incarnation: u64) -> Self {
         MemberState {
             incarnation,
@@ -76,7 +78,7 @@
         }
     }
 
-    /// The same incarnation with another status.
+    /// Returns the same incarnation with another status.
     pub const fn with_status(self, status: MemberStatus) -> Self {
         MemberState { status, ..self }
     }
--- a/crates/spurpier-core/src/membership/suspicion.rs
+++ b/crates/spurpier-core/src/membership/suspicion.rs
@@ -1,4 +1,4 @@
-//! From failed probes to suspicions, and from suspicions to deaths.
+//! Turns failed probes into suspicions, and suspicions that time out into deaths.
 
 use std::time::Duration;
 
@@ -10,18 +10,19 @@
 use super::table::{Member, MemberTable};
 use crate::time::Timestamp;
 
-/// How long a failed probe waits for proof that the member's zone answers others.
+/// How long a failed probe waits for an answer that shows that only the member is silent.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(20);
 
 impl Membership {
-    /// Notes that a member lives, though not that it can be reached: its path here may be one-way.
+    /// Records that a message from a member arrived: the member is alive, but it may not be
+    /// reachable, since the network may pass messages in this direction only.
     pub(super) fn record_contact(&mut self, sender: NodeKey) {
         self.detection
             .unconfirmed
             .retain(|failure| failure.target != sender);
     }
 
-    /// Notes that a member answered a probe: its zone can be reached.
+    /// Records that a member answered a probe, which shows that its zone can be reached.
     pub(super) fn record_member_answer(&mut self, now: Timestamp, sender: NodeKey) {
         let Some(zone) = self.table.zone_of_mut(sender) else {
             return;
@@ -30,7 +31,8 @@
         self.suspect_confirmed(now, sender);
     }
 
-    /// Turns failed probes into suspicions where an answer shows that only the target is silent.
+    /// Suspects the targets of failed probes for which this answer shows that only the target is
+    /// silent.
     fn suspect_confirmed(&mut self, now: Timestamp, answered: NodeKey) {
         if self.detection.unconfirmed.is_empty() {
             return;
@@ -62,19 +64,20 @@
         self.apply_state(now, target, suspected, None);
     }
 
-    /// How often the cluster has doubled from one node to its present size, rounded up.
+    /// Returns the bit length of the node count: the doublings from one node to the cluster's
+    /// size, rounded up.
     pub(super) fn cluster_doublings(&self) -> u32 {
         let nodes = self.table.len() + 1;
         usize::BITS - nodes.leading_zeros()
     }
 
-    /// How long a suspected node of the own zone has to refute in a cluster of this size.
+    /// Returns how long a suspected node of the own zone has to refute, at this cluster size.
     fn suspicion_timeout(&self) -> Duration {
         self.config.suspicion_timeout
             + self.config.suspicion_timeout_per_doubling * self.cluster_doublings()
     }
 
-    /// Starts the time in which a suspected member may refute.
+    /// Starts the timeout within which a suspected member can refute.
     pub(super) fn start_suspicion(&mut self, now: Timestamp, key: NodeKey, state: MemberState) {
         let own_zone = self.table.find(key).is_some_and(|member| member.zone == 0);
         let factor = match own_zone {
@@ -95,7 +98,8 @@
         });
     }
 
-    /// Declares the suspected members dead whose time is over, unless their zone is in doubt.
+    /// Declares suspected members dead after their timeout, unless their whole zone may have
+    /// failed.
     pub(super) fn expire_suspicions(&mut self, now: Timestamp) {
         let due = |suspicion: &Suspicion| suspicion.deadline <= now;
         if !self.detection.suspicions.iter().any(due) {
@@ -131,14 +135,15 @@
         }
     }
 
-    /// How many times as long as usual a refutation may take, as many statements wait here.
+    /// Returns the factor by which refutations are slower than usual because many updates wait to
+    /// be sent; the queue of this node serves as the estimate for others.
     fn refutation_delay_factor(&self) -> u32 {
-        /// Short statements that travel without delay, about what one datagram holds.
+        /// Short updates that are sent without delay: about as many as fit into one datagram.
         const UPDATES_PER_DATAGRAM: usize = 32;
         1 + (self.queue.short_update_count() / UPDATES_PER_DATAGRAM) as u32
     }
 
-    /// Whether the silence of a member may be that of its whole zone.
+    /// Whether a member may be silent because its whole zone failed or is cut off.
     fn may_be_zone_failure(&self, member: &Member, suspected_for: Duration) -> bool {
         let zone = self.table.zone_of(member);
         let mass_suspicion = zone.has_mass_suspicion(
@@ -150,10 +155,10 @@
     }
 }
 
-/// Whether an answer from one member shows that the silence of another is its own.
+/// Whether an answer from one member shows that the target of a failed probe is itself at fault.
 ///
-/// The answer must come from the target's zone. Where this node's own zone has no third member,
-/// an answer from any zone shows at least that this node itself is not cut off.
+/// The answer must come from the target's zone. If the target and this node are the only members
+/// of their zone, an answer from any zone suffices: it shows that this node is not cut off.
 fn confirms_failure(table: &MemberTable, answered: NodeKey, target: NodeKey) -> bool {
     let (Some(answered), Some(target)) = (table.find(answered), table.find(target)) else {
         return false;
--- a/crates/spurpier-core/src/membership/sync.rs
+++ b/crates/spurpier-core/src/membership/sync.rs
@@ -1,4 +1,4 @@
-//! Repair of views by digests of their parts.
+//! Anti-entropy: repairs differing views by comparing digests of their buckets.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,30 +14,30 @@
 use crate::time::Timestamp;
 use crate::wire::List;
 
-/// Parts of the view that one repair may carry.
+/// The maximum number of buckets whose states one sync sends.
 const MAX_BUCKETS_PER_SYNC: usize = 24;
-/// Quick repairs after a pause or a join, when much may have been missed.
+/// The number of quick syncs after a pause or a join, when many updates may have been missed.
 const QUICK_SYNCS: u32 = 4;
-/// The time between two quick repairs.
+/// The base interval between two quick syncs.
 const QUICK_SYNC_INTERVAL: Duration = Duration::from_secs(1);
-/// Identities sent at most in answer to one request.
+/// The maximum number of identities sent in answer to one request.
 const MAX_IDENTITIES_PER_ANSWER: usize = 64;
 
-/// When the view was last repaired by digests.
+/// The schedule of syncs and admissions, and the silent members missing from the list.
 #[derive(Debug, Clone, Default)]
 pub(super) struct SyncProgress {
-    /// The earliest moment of the next repair.
+    /// The earliest time of the next sync.
     pub(super) next: Timestamp,
-    /// Repairs that may follow each other quickly.
+    /// How many syncs may still follow each other at the quick interval.
     quick_syncs_left: u32,
-    /// Silent members that the platform's list lacks, and since when.
+    /// The silent members that the platform's list lacks, and since when; sorted by key.
     pub(super) unlisted: Vec<(NodeKey, Timestamp)>,
-    /// The earliest moment at which the next joining node is given the whole view.
+    /// The earliest time at which the next joining node is sent the whole view.
     pub(super) next_admission: Timestamp,
 }
 
 impl SyncProgress {
-    /// Lets the next few repairs follow each other quickly.
+    /// Makes a sync due immediately and lets the next few follow at the quick interval.
     pub(super) fn allow_quick_syncs(&mut self, now: Timestamp) {
         self.quick_syncs_left = QUICK_SYNCS;
         self.next = now;
@@ -45,13 +45,15 @@
 }
 
 impl Membership {
-    /// Starts a repair when views have differed for a while.
+    /// Starts a sync with the sender if the view of its zone has differed from this one for at
+    /// least the sync interval; sooner during quick syncs.
     pub(super) fn compare_views(&mut self, now: Timestamp, sender: NodeKey, view_digest: u64) {
         let equal = view_digest == self.view_digest();
         let Some(zone) = self.table.zone_of_mut(sender) else {
             return;
         };
-        // Two zones that were cut off from each other agree within, but not with each other.
+        // Kept per zone: after a partition, the nodes of each zone agree with each other, but not
+        // with the nodes of the other zone.
         if equal {
             zone.last_equal_view = now;
             return;
--- a/crates/spurpier-core/src/membership/table.rs
+++ b/crates/spurpier-core/src/membership/table.rs
@@ -1,4 +1,4 @@
-//! The members that a node knows, in compact form.
+//! The table of the members that a node knows.
 
 use std::collections::HashMap;
 use std::hash::{BuildHasherDefault, Hasher};
@@ -10,15 +10,15 @@
 use crate::identity::{RegionName, ZoneName};
 use crate::time::Timestamp;
 
-/// The parts into which the view is divided for its digests.
+/// The number of buckets into which the view is divided for anti-entropy.
 pub(super) const BUCKET_COUNT: usize = 128;
 
-/// A place in the table.
+/// An index into the member table; reused after its member is removed.
 pub(super) type Slot = u32;
-/// The number of a zone in the table.
+/// The index of a zone in the table; the own zone has index 0.
 pub(super) type ZoneIndex = u16;
 
-/// Hashes node keys, which are hashes already.
+/// Passes node keys through unchanged, because they are hashes already.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct KeyHasher(u64);
 
@@ -38,24 +38,24 @@
     }
 }
 
-/// A map by node key.
+/// A map from node keys.
 pub(super) type KeyMap<V> = HashMap<NodeKey, V, BuildHasherDefault<KeyHasher>>;
 
-/// One member.
+/// An entry of the member table.
 #[derive(Debug, Clone)]
 pub(super) struct Member {
-    /// Who it is.
+    /// The member's name, locality and addresses.
     pub(super) identity: Arc<MemberIdentity>,
-    /// Its key.
+    /// The key of its name, kept to avoid hashing it again.
     pub(super) key: NodeKey,
     incarnation: u64,
     status: MemberStatus,
-    /// The number of its zone.
+    /// The index of its zone.
     pub(super) zone: ZoneIndex,
 }
 
 impl Member {
-    /// What is said of it.
+    /// Returns the last reported state.
     pub(super) fn state(&self) -> MemberState {
         MemberState {
             incarnation: self.incarnation,
@@ -64,25 +64,25 @@
     }
 }
 
-/// A member as other parts of the node see it.
+/// A snapshot of a member for other parts of the node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemberView {
-    /// Who it is.
+    /// The member's name, locality and addresses.
     pub identity: Arc<MemberIdentity>,
-    /// What is said of it.
+    /// Its last reported state.
     pub state: MemberState,
     /// Whether new work may be sent to it: alive, not suspected, not leaving, its zone reachable.
     pub usable: bool,
 }
 
-/// A departed member, remembered for a time.
+/// The last state of a departed member, remembered so that delayed updates do not add it again.
 #[derive(Debug, Clone, Copy)]
 struct DepartedMember {
     state: MemberState,
     forget_at: Timestamp,
 }
 
-/// All members that a node knows beside itself.
+/// All members that a node knows, without the node itself.
 #[derive(Debug, Clone)]
 pub struct MemberTable {
     own_zone: ZoneName,
@@ -90,7 +90,7 @@
     members: Vec<Option<Member>>,
     free_slots: Vec<Slot>,
     index: KeyMap<Slot>,
-    /// The zones in the order in which they were first seen; the own zone is the first.
+    /// The zones, in the order in which they were first seen; the own zone is the first.
     pub(super) zones: Vec<ZoneState>,
     bucket_digests: [u64; BUCKET_COUNT],
     digest: u64,
@@ -99,8 +99,9 @@
 }
 
 impl MemberTable {
-    /// An empty table of a node in this zone and region; a zone counts as unreachable after this
-    /// many failed probes in a row.
+    /// Creates an empty table for a node in this zone and region.
+    ///
+    /// A zone counts as unreachable after `zone_unreachable_failures` consecutive failed probes.
     pub fn new(own_zone: ZoneName, own_region: RegionName, zone_unreachable_failures: u32) -> Self {
         let first = ZoneState::new(own_zone.clone(), ZoneDistance::OwnZone);
         MemberTable {
@@ -117,7 +118,7 @@
         }
     }
 
-    /// How many members are known, without the node itself.
+    /// Returns how many members are known, without the node itself.
     pub fn len(&self) -> usize {
         self.index.len()
     }
@@ -127,17 +128,18 @@
         self.index.is_empty()
     }
 
-    /// What is known of the member with this key.
+    /// Returns the member with this key, if it is known.
     pub fn get(&self, key: NodeKey) -> Option<MemberView> {
         self.find(key).map(|member| self.view(member))
     }
 
-    /// All members, in no particular order.
+    /// Iterates over all members, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = MemberView> {
         self.raw_members().map(|member| self.view(member))
     }
 
-    /// Whether any answer came from the zone since the last few probes into it.
+    /// Whether fewer than the configured number of probes into the zone have failed since its last
+    /// answer. A zone without known members counts as reachable.
     pub fn is_zone_reachable(&self, zone: &ZoneName) -> bool {
         self.zones
             .iter()
@@ -145,7 +147,7 @@
             .is_none_or(|state| self.is_reachable(state))
     }
 
-    /// The names of the zones that count as unreachable.
+    /// Returns the names of the zones that count as unreachable.
     pub fn unreachable_zones(&self) -> Vec<ZoneName> {
         self.zones
             .iter()
@@ -154,9 +156,9 @@
             .collect()
     }
 
-    /// The bytes that the table holds in a real node, identities included.
+    /// Estimates the memory that the table takes, identities included, in bytes.
     pub fn memory_bytes(&self) -> usize {
-        /// The control byte that the hash map keeps beside each place.
+        /// The control byte that the hash map keeps for each bucket.
         const CONTROL_BYTE: usize = 1;
         let identities: usize = self
             .raw_members()
@@ -173,12 +175,12 @@
             + self.zones.capacity() * size_of::<ZoneState>()
     }
 
-    /// The digest of the whole view.
+    /// Returns the digest of the whole table.
     pub(super) fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// The digest of each part of the view.
+    /// Returns the digest of each bucket of the table.
     pub(super) fn bucket_digests(&self) -> &[u64; BUCKET_COUNT] {
         &self.bucket_digests
     }
@@ -205,7 +207,7 @@
         self.members.get(slot as usize)?.as_ref()
     }
 
-    /// How many places there are, taken and free.
+    /// Returns how many slots there are, used and free.
     pub(super) fn slot_count(&self) -> usize {
         self.members.len()
     }
@@ -219,7 +221,7 @@
         self.zones.get_mut(usize::from(index))
     }
 
-    /// Adds a member that is not known yet and gives its place.
+    /// Adds a member that is not known yet, and returns its slot.
     pub(super) fn insert(&mut self, identity: Arc<MemberIdentity>, state: MemberState) -> Slot {
         let key = identity.key();
         let zone = self.zone_index(&identity);
@@ -243,7 +245,7 @@
         slot
     }
 
-    /// Replaces what is said of a known member.
+    /// Replaces the state of a known member.
     pub(super) fn set_state(&mut self, key: NodeKey, state: MemberState) {
         let Some(&slot) = self.index.get(&key) else {
             return;
@@ -261,7 +263,7 @@
         self.toggle_digest(key, state);
     }
 
-    /// Takes a member out of the table.
+    /// Removes a member from the table and returns it.
     pub(super) fn remove(&mut self, key: NodeKey) -> Option<Member> {
         let slot = self.index.remove(&key)?;
         let member = self.members[slot as usize].take()?;
@@ -272,7 +274,7 @@
         Some(member)
     }
 
-    /// What was last said of a departed member that is still remembered.
+    /// Returns the last state of a departed member that is still remembered.
     pub(super) fn departed(&self, key: NodeKey) -> Option<MemberState> {
         self.departed.get(&key).map(|departed| departed.state)
     }
@@ -288,12 +290,12 @@
             .insert(key, DepartedMember { state, forget_at });
     }
 
-    /// Forgets the departed members whose time is over.
+    /// Forgets the departed members whose retention time has passed.
     pub(super) fn forget_departed(&mut self, now: Timestamp) {
         self.departed.retain(|_, departed| departed.forget_at > now);
     }
 
-    /// The departed members of one part, sorted by key.
+    /// Returns the departed members of one bucket, sorted by key.
     pub(super) fn departed_in_bucket(&self, bucket: usize) -> Vec<(NodeKey, MemberState)> {
         let mut found: Vec<_> = self
             .departed
@@ -352,14 +354,16 @@
     }
 }
 
-/// The part of the view to which a member belongs.
+/// Returns the bucket of the view to which a member belongs.
 pub(super) fn bucket_of(key: NodeKey) -> usize {
     (key.0 % BUCKET_COUNT as u64) as usize
 }
 
-/// The digest of one member's state; suspicions come and go and are left out.
+/// Returns the digest of one member's state.
+///
+/// Suspicions are left out: they are short-lived, and views that differ only by them need no sync.
 pub(super) fn state_digest(key: NodeKey, state: MemberState) -> u64 {
-    /// An odd constant with well-spread bits (the golden ratio).
+    /// 2^64 divided by the golden ratio: odd, and with evenly mixed bits.
     const MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
     let leaving = u64::from(state.status.is_leaving());
     let mixed = key.0 ^ (state.incarnation << 1 | leaving).wrapping_mul(MULTIPLIER);
@@ -367,7 +371,8 @@
     folded ^ (folded >> 29)
 }
 
-/// The places that a hash map of this capacity holds: a power of two, filled to 7/8.
+/// Returns how many buckets a hash map of this capacity allocates: a power of two of which at
+/// most 7/8 are used.
 fn hash_map_buckets(capacity: usize) -> usize {
     match capacity {
         0 => 0,
--- a/crates/spurpier-core/src/membership/zones.rs
+++ b/crates/spurpier-core/src/membership/zones.rs
@@ -1,4 +1,4 @@
-//! Zones as one node sees them: their members and whether they can be reached.
+//! One node's view of the zones: their member counts and whether they can be reached.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
         ZoneDistance::OtherRegion,
     ];
 
-    /// The distance's place in [`Self::ALL`].
+    /// Returns the index of the distance in [`Self::ALL`].
     pub(super) const fn index(self) -> usize {
         match self {
             ZoneDistance::OwnZone => 0,
@@ -34,27 +34,27 @@
     }
 }
 
-/// What is known of one zone.
+/// The observed state of one zone.
 #[derive(Debug, Clone)]
 pub(super) struct ZoneState {
-    /// Its name.
+    /// The name of the zone.
     pub(super) name: ZoneName,
-    /// Its distance from this node.
+    /// The distance of the zone from this node.
     pub(super) distance: ZoneDistance,
-    /// Members known there, without this node itself.
+    /// The number of known members there, without this node itself.
     pub(super) members: usize,
-    /// Those of them under suspicion.
+    /// How many of them are suspected.
     pub(super) suspects: usize,
-    /// Probes into the zone that failed since the last answer from there.
+    /// The number of probes into the zone that failed since its last answer.
     pub(super) consecutive_failures: u32,
     /// When a member of the zone last answered.
     pub(super) last_answer: Option<Timestamp>,
-    /// When the view of a member of the zone was last equal to the own.
+    /// When the view of a member of the zone was last equal to the view of this node.
     pub(super) last_equal_view: Timestamp,
 }
 
 impl ZoneState {
-    /// A zone without members.
+    /// Creates a zone without members.
     pub(super) fn new(name: ZoneName, distance: ZoneDistance) -> Self {
         ZoneState {
             name,
@@ -67,23 +67,24 @@
         }
     }
 
-    /// Notes that a member of the zone answered.
+    /// Records that a member of the zone answered a probe.
     pub(super) fn record_answer(&mut self, now: Timestamp) {
         self.consecutive_failures = 0;
         self.last_answer = Some(now);
     }
 
-    /// Notes that a probe into the zone failed.
+    /// Records that a probe into the zone failed.
     pub(super) fn record_failure(&mut self) {
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
     }
 
-    /// Whether so many members are suspected at once that a cut is likelier than their deaths.
+    /// Whether at least `min_suspects` members and at least `percent` percent of all members are
+    /// suspected at once, so that a network partition is more likely than their deaths.
     pub(super) fn has_mass_suspicion(&self, percent: usize, min_suspects: usize) -> bool {
         self.suspects >= min_suspects && self.suspects * 100 >= self.members * percent
     }
 
-    /// Whether nothing was heard from the zone for `silence`.
+    /// Whether no member of the zone has answered a probe for at least `silence`.
     pub(super) fn is_silent(&self, now: Timestamp, silence: Duration) -> bool {
         match self.last_answer {
             Some(answered_at) => now.since(answered_at) >= silence,
--- a/crates/spurpier-core/tests/membership_merge.rs
+++ b/crates/spurpier-core/tests/membership_merge.rs
@@ -1,4 +1,4 @@
-//! The view of the members does not depend on the order in which statements arrive.
+//! The view of the members does not depend on the order in which updates arrive.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -86,7 +86,7 @@
         seed in any::<u64>(),
     ) {
         let mut shuffled = updates.clone();
-        // A fixed permutation by the seed, and every statement twice.
+        // A permutation that depends on the seed only, with every update twice.
         shuffled.sort_by_key(|update| update.key.0.rotate_left((seed % 64) as u32) ^ seed);
         shuffled.extend(updates.iter().rev().cloned());
         let mut first = node();
