--- a/crates/spurpier-core/src/control/machine_list.rs
+++ b/crates/spurpier-core/src/control/machine_list.rs
@@ -1,7 +1,7 @@
-//! When a node reads the platform's list of machines.
+//! The schedule on which a node reads the platform's list of machines.
 //!
-//! The list's size grows with the number of machines, and so does the time between two reads: the
-//! bytes that a watcher spends on it each second stay the same at every size.
+//! The size of the list grows with the number of machines, and the interval between reads grows
+//! with it, so that a watcher reads the same number of bytes per second at every cluster size.
 
 use std::time::Duration;
 
@@ -10,78 +10,82 @@
 
 use crate::time::Timestamp;
 
-/// The reading schedule: a node that cannot join reads with growing waits, watchers at a slow
-/// steady rate, all others never.
+/// The schedule of reads.
+///
+/// Nodes that have not joined read with growing delays while reads fail, and watchers read at a
+/// slow steady rate. All other nodes postpone each read without making it.
 #[derive(Debug, Clone)]
 pub(super) struct MachineListSchedule {
     next: Timestamp,
     wait: Duration,
-    steady: Duration,
-    per_member: Duration,
+    min_interval: Duration,
+    interval_per_member: Duration,
     outstanding: bool,
 }
 
 impl MachineListSchedule {
-    /// The first read is due after a random part of `first`, so that seeds can serve before.
+    /// Creates the schedule. The first read is due after a random part of `max_initial_delay`, so
+    /// that a node usually joins through its seeds before.
     pub(super) fn new(
         now: Timestamp,
-        first: Duration,
-        steady: Duration,
-        per_member: Duration,
+        max_initial_delay: Duration,
+        min_interval: Duration,
+        interval_per_member: Duration,
         random: &mut SmallRng,
     ) -> Self {
-        let jitter = random.random_range(0..=first.as_micros() as u64);
+        let jitter = random.random_range(0..=max_initial_delay.as_micros() as u64);
         MachineListSchedule {
             next: now + Duration::from_micros(jitter),
-            wait: first,
-            steady,
-            per_member,
+            wait: max_initial_delay,
+            min_interval,
+            interval_per_member,
             outstanding: false,
         }
     }
 
-    /// When a read is due.
+    /// Returns when the next read is due; `None` while a read is in progress.
     pub(super) fn next_deadline(&self) -> Option<Timestamp> {
         (!self.outstanding).then_some(self.next)
     }
 
-    /// Whether the list is to be read now; the caller then reads it.
-    pub(super) fn take(&mut self, now: Timestamp) -> bool {
+    /// Starts a read if one is due, and returns whether it did; the caller then reads the list.
+    pub(super) fn start_if_due(&mut self, now: Timestamp) -> bool {
         let due = !self.outstanding && self.next <= now;
         self.outstanding |= due;
         due
     }
 
-    /// Puts the next read off without reading.
+    /// Postpones the next read by one interval.
     pub(super) fn postpone(&mut self, now: Timestamp, members: usize, random: &mut SmallRng) {
-        self.next = now + jitter(random, self.steady_wait(members));
+        self.next = now + jitter(random, self.interval(members));
     }
 
-    /// Notes the end of a read.
-    pub(super) fn finished(
+    /// Records the end of a read and schedules the next one.
+    pub(super) fn record_result(
         &mut self,
         now: Timestamp,
         succeeded: bool,
         members: usize,
         random: &mut SmallRng,
     ) {
-        /// The longest wait after failures, in steady waits.
-        const LONGEST: u32 = 4;
+        /// The longest delay after failures, as a multiple of the minimum interval.
+        const MAX_WAIT_FACTOR: u32 = 4;
         self.outstanding = false;
         self.wait = match succeeded {
-            true => self.steady_wait(members),
-            false => (self.wait * 2).min(self.steady * LONGEST),
+            true => self.interval(members),
+            false => (self.wait * 2).min(self.min_interval * MAX_WAIT_FACTOR),
         };
         self.next = now + jitter(random, self.wait);
     }
 
-    fn steady_wait(&self, members: usize) -> Duration {
+    fn interval(&self, members: usize) -> Duration {
         let members = u32::try_from(members).unwrap_or(u32::MAX);
-        self.steady.max(self.per_member.saturating_mul(members))
+        self.min_interval
+            .max(self.interval_per_member.saturating_mul(members))
     }
 }
 
-/// Half of the wait and a random part of the other half.
+/// Returns half of the wait plus a random part of the other half.
 fn jitter(random: &mut SmallRng, wait: Duration) -> Duration {
     let half = wait.as_micros() as u64 / 2;
     Duration::from_micros(half + random.random_range(0..=half))
--- a/crates/spurpier-core/src/membership/detection.rs
+++ b/crates/spurpier-core/src/membership/detection.rs
@@ -5,58 +5,58 @@
 use rand::RngExt;
 use rand::rngs::SmallRng;
 
+use super::config::MembershipConfig;
 use super::identity::NodeKey;
-use super::settings::MembershipConfig;
 use super::table::{MemberTable, Slot};
 use super::zones::ZoneDistance;
 use crate::time::Timestamp;
 
-/// The worst value of the local health score; timeouts grow by one with each step.
-const WORST_HEALTH: u32 = 8;
+/// The worst local health score; each point adds the base value once more to every timeout.
+const MAX_HEALTH_SCORE: u32 = 8;
 
-/// A probe that has not been answered.
+/// A probe that has not been answered yet.
 #[derive(Debug, Clone)]
 pub(super) struct PendingProbe {
-    /// Its number.
+    /// The sequence number of the probe.
     pub(super) number: u32,
-    /// The node probed.
+    /// The probed node.
     pub(super) target: NodeKey,
-    /// When it left.
+    /// When the probe was sent.
     pub(super) sent_at: Timestamp,
-    /// Whether others were asked to probe too.
+    /// Whether other nodes were asked for indirect probes.
     pub(super) indirect_sent: bool,
-    /// Who asked for it and under which number, when it is made in another node's place.
-    pub(super) asked_by: Option<(NodeKey, u32)>,
+    /// For an indirect probe, the requester and the sequence number of its request.
+    pub(super) requested_by: Option<(NodeKey, u32)>,
 }
 
-/// A failed probe that nothing has yet shown to be the member's own fault.
+/// A failed probe for which it is not yet known whether the member or its zone is at fault.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct UnprovenFailure {
-    /// The node probed.
+pub(super) struct UnconfirmedFailure {
+    /// The probed node.
     pub(super) target: NodeKey,
-    /// When the probe left.
+    /// When the probe was sent.
     pub(super) sent_at: Timestamp,
 }
 
-/// A suspicion that turns into a death unless it is refuted.
+/// A suspicion after which the member is declared dead unless it refutes it.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Suspicion {
-    /// The member.
+    /// The suspected member.
     pub(super) key: NodeKey,
-    /// The life that is suspected.
+    /// The suspected incarnation.
     pub(super) incarnation: u64,
-    /// Since when.
+    /// When the suspicion started.
     pub(super) started_at: Timestamp,
-    /// When it turns into a death.
+    /// When the member is declared dead.
     pub(super) deadline: Timestamp,
 }
 
 /// The members at one distance, in the random order in which they are probed.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Rotation {
-    /// The places, in the order of the present round.
+    /// The slots of the members, in the order of the current round.
     pub(super) slots: Vec<Slot>,
-    /// The next one to probe.
+    /// The index in `slots` of the next member to probe.
     pub(super) next: usize,
 }
 
@@ -66,15 +66,15 @@
     pub(super) rotations: [Rotation; 3],
     pub(super) next_probe: [Timestamp; 3],
     pub(super) pending: Vec<PendingProbe>,
-    pub(super) unproven: Vec<UnprovenFailure>,
+    pub(super) unconfirmed: Vec<UnconfirmedFailure>,
     pub(super) suspicions: Vec<Suspicion>,
-    pub(super) last_number: u32,
-    /// 0 is healthy; each step makes this node more patient with others.
-    pub(super) health: u32,
+    pub(super) last_probe_number: u32,
+    /// The local health score of Lifeguard: 0 is healthy, and each point makes timeouts longer.
+    pub(super) health_score: u32,
 }
 
-/// The time between two probes at this distance.
-pub(super) fn interval(config: &MembershipConfig, distance: ZoneDistance) -> Duration {
+/// Returns the interval between probes at this distance.
+pub(super) fn probe_interval(config: &MembershipConfig, distance: ZoneDistance) -> Duration {
     match distance {
         ZoneDistance::OwnZone => config.own_zone_probe_interval,
         ZoneDistance::OwnRegion => config.own_region_probe_interval,
@@ -83,35 +83,37 @@
 }
 
 impl Detection {
-    /// No probes yet; the first of each distance leaves at a random moment of its interval.
+    /// Creates the state before the first probes; for each distance, the first is due at a random
+    /// time within its interval.
     pub(super) fn new(config: &MembershipConfig, random: &mut SmallRng) -> Self {
         let next_probe = ZoneDistance::ALL.map(|distance| {
-            let micros = interval(config, distance).as_micros() as u64;
+            let micros = probe_interval(config, distance).as_micros() as u64;
             Timestamp::from_micros(random.random_range(0..=micros))
         });
         Detection {
             rotations: Default::default(),
             next_probe,
             pending: Vec::new(),
-            unproven: Vec::new(),
+            unconfirmed: Vec::new(),
             suspicions: Vec::new(),
-            last_number: 0,
-            health: 0,
+            last_probe_number: 0,
+            health_score: 0,
         }
     }
 
-    /// Drops every observation that a pause of this node has made worthless.
+    /// Discards the observations that are invalid after a pause of this node, and gives suspected
+    /// members the longest timeout from now on.
     pub(super) fn restart(&mut self, now: Timestamp, config: &MembershipConfig) {
-        self.health = WORST_HEALTH;
+        self.health_score = MAX_HEALTH_SCORE;
         self.pending.clear();
-        self.unproven.clear();
-        let deadline = now + config.suspicion_timeout * (WORST_HEALTH + 1);
+        self.unconfirmed.clear();
+        let deadline = now + config.suspicion_timeout * (MAX_HEALTH_SCORE + 1);
         for suspicion in &mut self.suspicions {
             suspicion.deadline = deadline;
         }
     }
 
-    /// When something is due next.
+    /// Returns when the next probe, timeout or suspicion is due.
     pub(super) fn next_deadline(
         &self,
         table: &MemberTable,
@@ -122,11 +124,11 @@
             .filter(|distance| has_members(table, **distance))
             .map(|distance| self.next_probe[distance.index()]);
         let pending = self.pending.iter().map(|probe| {
-            let wait = match probe.indirect_sent || probe.asked_by.is_some() {
+            let wait = match probe.indirect_sent || probe.requested_by.is_some() {
                 true => config.probe_timeout,
                 false => config.direct_probe_timeout,
             };
-            probe.sent_at + self.patient(wait)
+            probe.sent_at + self.scaled_timeout(wait)
         });
         let suspicions = self.suspicions.iter().map(|suspicion| suspicion.deadline);
         probes
@@ -136,7 +138,7 @@
             .unwrap_or(Timestamp::from_micros(u64::MAX))
     }
 
-    /// The bytes of its lists.
+    /// Returns the memory that the lists take, in bytes.
     pub(super) fn memory_bytes(&self) -> usize {
         let slots: usize = self
             .rotations
@@ -145,23 +147,23 @@
             .sum();
         slots * size_of::<Slot>()
             + self.pending.capacity() * size_of::<PendingProbe>()
-            + self.unproven.capacity() * size_of::<UnprovenFailure>()
+            + self.unconfirmed.capacity() * size_of::<UnconfirmedFailure>()
             + self.suspicions.capacity() * size_of::<Suspicion>()
     }
 
-    /// A timeout stretched by the local health score.
-    pub(super) fn patient(&self, timeout: Duration) -> Duration {
-        timeout * (1 + self.health)
+    /// Returns the timeout, lengthened according to the local health score.
+    pub(super) fn scaled_timeout(&self, timeout: Duration) -> Duration {
+        timeout * (1 + self.health_score)
     }
 
-    /// Notes a failed probe: the fault may be this node's own.
-    pub(super) fn worsen(&mut self) {
-        self.health = (self.health + 1).min(WORST_HEALTH);
+    /// Records a failed probe: the fault may lie with this node.
+    pub(super) fn record_failure(&mut self) {
+        self.health_score = (self.health_score + 1).min(MAX_HEALTH_SCORE);
     }
 
-    /// Notes an answered probe.
-    pub(super) fn improve(&mut self) {
-        self.health = self.health.saturating_sub(1);
+    /// Records an answered probe.
+    pub(super) fn record_success(&mut self) {
+        self.health_score = self.health_score.saturating_sub(1);
     }
 }
 
