--- a/crates/spurpier-core/src/directory/incarnation.rs
+++ b/crates/spurpier-core/src/directory/incarnation.rs
@@ -1,24 +1,26 @@
-//! One life of a server.
+//! The identity of one run of a server process.
 
 use std::fmt;
 use std::sync::Arc;
 
-/// One life of a server, from its start to its end.
+/// One run of a server process, from its start to its end.
 ///
-/// A server that starts again under its name holds nothing of its former life: no connection, no
-/// session value, perhaps not its log. What was learnt of one life is never believed of another, so
-/// that this, and not the name alone, identifies a server wherever it is known.
+/// A server that restarts under the same name keeps nothing of its former run: no connection, no
+/// session state, possibly not even its log. What was learned of one incarnation never applies to
+/// another, so a server is identified by its incarnation rather than by its name alone.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation {
     name: Arc<str>,
-    /// When it started, in milliseconds of its own time of day; none if it does not say.
+    /// When it started, in milliseconds of its own wall clock; `None` if it does not report that.
     ///
-    /// Another server's clock: it tells lives apart and is compared with nothing else.
+    /// This is another machine's clock. The value only distinguishes incarnations, and is not
+    /// compared with any other time.
     started_ms: Option<u64>,
 }
 
 impl Incarnation {
-    /// The life of a server that started at this moment of its own clock, if it tells that.
+    /// The incarnation of a server that started at `started_ms` of its own wall clock, if it
+    /// reports that.
     pub fn new(name: &str, started_ms: Option<u64>) -> Self {
         Incarnation {
             name: Arc::from(name),
@@ -26,23 +28,23 @@
         }
     }
 
-    /// The name under which the server is listed, which its next life may have too.
+    /// The name under which the server is listed, which its next incarnation may share.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// When it started, in milliseconds of its own time of day; none if it does not say.
+    /// When it started, in milliseconds of its own wall clock; `None` if it does not report that.
     pub fn started_ms(&self) -> Option<u64> {
         self.started_ms
     }
 
-    /// Whether this is another life of the same server.
+    /// Whether this is another incarnation of the same server.
     pub fn is_other_incarnation_of(&self, other: &Incarnation) -> bool {
         self.name == other.name && self.started_ms != other.started_ms
     }
 }
 
-/// The name, followed by `@` and the moment of the start if that is known.
+/// The name, followed by `@` and the start time if that is known.
 impl fmt::Display for Incarnation {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(&self.name)?;
--- a/crates/spurpier-core/src/directory/mod.rs
+++ b/crates/spurpier-core/src/directory/mod.rs
@@ -1,7 +1,7 @@
 //! The servers that the platform's directory lists, by their incarnations.
 //!
-//! A server may start again under the name that it had. [`Incarnation`] keeps its lives apart, and
-//! [`Roster`] decides from the directory's rows which life of which server is to be used.
+//! A server may restart under the same name. [`Incarnation`] distinguishes its runs, and [`Roster`]
+//! decides from the rows of the directory which incarnation of which server is used.
 
 mod incarnation;
 mod roster;
--- a/crates/spurpier-core/src/directory/roster.rs
+++ b/crates/spurpier-core/src/directory/roster.rs
@@ -1,4 +1,4 @@
-//! Which servers the directory's rows name, and what each new row changes.
+//! Which servers the rows of the directory list, and what each new row changes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -6,23 +6,23 @@
 use super::Incarnation;
 use crate::store_version::StoreVersion;
 
-/// Where a life of a server serves. It does not change during that life.
+/// Where an incarnation of a server is reached. It does not change while the incarnation runs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerEndpoint {
-    /// The life.
+    /// The incarnation of the server.
     pub incarnation: Incarnation,
-    /// The group that it serves.
+    /// The name of the group that it serves.
     pub group: String,
     /// Its address, which another server may have later.
     pub address: SocketAddr,
 }
 
-/// What a row says.
+/// What a row contains.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RowContent {
     /// A server that can be used.
     Server(ServerEndpoint),
-    /// Nothing that can be used, whatever the row said before.
+    /// No server that can be used, whatever the row contained before.
     Unusable,
     /// The row was removed.
     Removed,
@@ -31,33 +31,35 @@
 /// A row of the directory.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RosterRow {
-    /// Its key: the server's name.
+    /// The server's name.
     pub key: String,
     /// The version of its last change.
     pub version: StoreVersion,
-    /// What it says.
+    /// What it contains.
     pub content: RowContent,
 }
 
-/// What is to be done after a row was taken in.
+/// What a row changes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RosterChange {
-    /// Nothing: the row is older than what is known, or tells nothing new.
+    /// Nothing: the row is older than the known one, or neither contains a usable server.
     Nothing,
-    /// A server is to be used from now on.
+    /// A server can be used from now on.
     Join(ServerEndpoint),
-    /// The server that is known tells more of itself.
+    /// The entry of a known server may have changed; its endpoint has not.
     Update(ServerEndpoint),
-    /// A server has started again, or stands elsewhere: nothing of the former life holds any more.
+    /// A server has restarted or has moved to another address or group. What was known of the
+    /// former incarnation no longer applies.
     Restart {
-        /// The life that is over.
+        /// The endpoint that has ended.
         former: ServerEndpoint,
-        /// The one that has begun.
+        /// The endpoint that replaces it.
         present: ServerEndpoint,
     },
-    /// The row of a server is gone; it may run on for a while, or come back.
+    /// The row of a server was removed. The server may run on for a while, or its row may come
+    /// back.
     Leave(ServerEndpoint),
-    /// The row of a server cannot be used any more.
+    /// The row of a server can no longer be used.
     Invalidate(ServerEndpoint),
 }
 
@@ -67,18 +69,19 @@
     content: RowContent,
 }
 
-/// The servers that the directory names, by their rows.
+/// The servers that the directory lists, by the keys of their rows.
 ///
-/// Each row is judged alone. Rows may come late, twice or out of order: a row counts only if it is
-/// newer than what is known of its key, also if that was a removal. Of two lives of a server the
-/// one in the newer row holds; the moments of their starts are not compared, since clocks step.
+/// Each row is evaluated on its own. Rows may arrive late, twice or out of order: a row counts only
+/// if it is at least as new as the known row of its key, also if that was a removal. Of two
+/// incarnations of a server, the one in the newer row is used. Their start times are not compared,
+/// since clocks may step.
 #[derive(Debug, Clone, Default)]
 pub struct Roster {
     rows: BTreeMap<String, KnownRow>,
 }
 
 impl Roster {
-    /// Takes in one row that has changed.
+    /// Applies one row that has changed.
     pub fn apply(&mut self, row: RosterRow) -> RosterChange {
         let known = self.rows.get(&row.key);
         if known.is_some_and(|known| known.version > row.version) {
@@ -94,8 +97,8 @@
         change
     }
 
-    /// Takes in the whole table as of a version: what is known and not among the rows is gone, unless
-    /// it is newer.
+    /// Applies the whole table as of a version. Known rows that are not among `rows` were removed,
+    /// unless they are newer than `version`.
     pub fn replace(&mut self, rows: Vec<RosterRow>, version: StoreVersion) -> Vec<RosterChange> {
         let listed: BTreeSet<&str> = rows.iter().map(|row| row.key.as_str()).collect();
         let is_missing =
@@ -108,7 +111,7 @@
             .collect();
         let mut changes = Vec::new();
         for key in missing {
-            // A removal that a whole table confirms needs no memory of its own.
+            // The whole table confirms the removal, so its version need not be remembered.
             if let Some(KnownRow {
                 content: RowContent::Server(endpoint),
                 ..
@@ -121,7 +124,7 @@
         changes
     }
 
-    /// The server that is to be used under a key; none if there is none.
+    /// The endpoint of the server listed under a key; `None` if no server can be used.
     pub fn endpoint(&self, key: &str) -> Option<&ServerEndpoint> {
         match &self.rows.get(key)?.content {
             RowContent::Server(endpoint) => Some(endpoint),
@@ -129,14 +132,13 @@
         }
     }
 
-    /// The version of the newest row that is known under a key; before all others if there is
-    /// none.
+    /// The version of the newest known row of a key; [`StoreVersion::NONE`] if there is none.
     pub fn version(&self, key: &str) -> StoreVersion {
         let known = self.rows.get(key);
         known.map_or(StoreVersion::NONE, |known| known.version)
     }
 
-    /// How many servers that can be used tell when they started, and how many do not.
+    /// How many usable servers report when they started, and how many do not.
     pub fn count_start_times(&self) -> (usize, usize) {
         let endpoints = self.rows.values().filter_map(|known| match &known.content {
             RowContent::Server(endpoint) => Some(endpoint),
--- a/crates/spurpier-core/src/leader/candidate.rs
+++ b/crates/spurpier-core/src/leader/candidate.rs
@@ -1,25 +1,26 @@
-//! Which server is asked for the lead.
+//! Which server is asked to prove that it leads.
 
 use crate::store_version::StoreVersion;
 
-/// What is known of a server that may lead.
+/// What is known of a server that may be the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaderCandidate {
-    /// Whether it proved the lead last, and has not refused it since.
+    /// Whether it is the server that last proved its leadership, and has not refused since.
     pub proved: bool,
-    /// Whether its entry in the directory says that it leads.
+    /// Whether its directory entry says that it is the primary.
     pub claims_leadership: bool,
-    /// Whether it has left its last messages without an answer.
+    /// Whether its last messages went unanswered.
     pub unresponsive: bool,
-    /// The version of its entry.
+    /// The version of its directory entry.
     pub version: StoreVersion,
 }
 
-/// The index of the server to ask for the lead; none if there is none to ask.
+/// The index of the server to ask for a proof that it leads; `None` if there are no candidates.
 ///
-/// The one that proved the lead goes first while it answers. Once it is silent, any other that
-/// answers goes before it, whatever the directory says: a promotion may have taken the lead, and
-/// the directory may be old. A server that does not lead refuses, at the price of a round trip.
+/// The server with the last proof comes first while it answers. Once it is unresponsive, every
+/// responsive server precedes it, whatever the directory says: a promotion may have made another
+/// server the leader, and the directory may be out of date. A server that is not the leader
+/// refuses, which costs one round trip.
 pub fn choose_leader_candidate(candidates: &[LeaderCandidate]) -> Option<usize> {
     let ranked = candidates.iter().enumerate();
     ranked
--- a/crates/spurpier-core/src/leader/failover.rs
+++ b/crates/spurpier-core/src/leader/failover.rs
@@ -1,61 +1,65 @@
-//! Whether a group's primary is to be replaced, and by which server.
+//! Whether a group's primary is replaced, and by which server.
 
 use std::time::Duration;
 
 use crate::position::Position;
 
-/// A proof of lead younger than this says that the primary serves. A node that is asked has the
-/// lead proved anew unless its proof is fresh, so that an older one tells of a failed attempt.
+/// A leadership proof younger than this shows that the primary serves. A node that is asked for its
+/// observation renews the proof unless it is recent, so an older proof indicates a failed attempt.
 const PROOF_VALIDITY: Duration = Duration::from_millis(550);
 
-/// For how long a primary is not replaced while some nodes do not answer: most cuts are over by then,
-/// and nodes that died have started again.
+/// How long a primary is kept while some nodes do not answer. Most partitions have healed by then,
+/// and nodes that crashed have restarted.
 pub const PARTITION_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// What one node sees of a group's primary.
+/// One node's observation of a group's primary.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PrimaryObservation {
-    /// How long ago the message left that proved the lead last; none if none is known.
+    /// How long ago the message was sent whose answer last proved leadership; `None` if there is no
+    /// proof.
     pub last_proof_age: Option<Duration>,
 }
 
 impl PrimaryObservation {
-    /// Whether the node sees the primary serve.
+    /// Whether the node observes that the primary serves.
     pub fn observes_primary(self) -> bool {
         self.last_proof_age.is_some_and(|age| age < PROOF_VALIDITY)
     }
 }
 
-/// What is known when a primary has left this node without an answer.
+/// What is known about a primary that does not answer this node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MissingPrimary {
-    /// For how long every attempt to have the lead proved has failed here.
+    /// How long every attempt of this node to obtain a leadership proof has failed.
     pub missing_for: Duration,
-    /// What the other nodes that answered see.
+    /// The observations of the other nodes that answered.
     pub peer_observations: Vec<PrimaryObservation>,
     /// How many other nodes were asked.
     pub peers_asked: usize,
-    /// Whether any server is listed as primary.
+    /// Whether the directory lists any server as primary.
     pub primary_listed: bool,
-    /// Whether all nodes answer that may use the primary.
+    /// Whether all nodes answer that may hold the leader lease and use the primary.
     pub all_holders_reachable: bool,
 }
 
-/// What is to be done about a primary that does not answer.
+/// What is done about a primary that does not answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FailoverDecision {
-    /// Nothing: it serves others, or too little is known.
+    /// The primary stays: it serves other nodes, or too little is known.
     Keep,
-    /// Another server is to take over.
+    /// Another server takes over.
     Replace,
 }
 
-/// Judges a missing primary: one node's silence is no proof of a server's end.
+/// Decides whether a missing primary is replaced.
 ///
-/// More nodes must miss the primary than see it. A node that hears from none of the others may
-/// be cut off itself; it waits until the directory has dropped the primary as well. While
-/// other nodes do not answer, they may be cut off together with the primary and use it: replacing it
-/// would take it from them as well, so that it is put off for [`PARTITION_TIMEOUT`].
+/// A primary that one node cannot reach need not have failed: more nodes must miss it than observe
+/// it. A node that no other node answers may be partitioned itself, and waits until the directory
+/// has dropped the primary as well. Nodes that do not answer may be partitioned together with the
+/// primary and still use it. Replacing it would take it from them, so that is deferred for
+/// [`PARTITION_TIMEOUT`].
+///
+/// `failure_timeout` is how long the primary must have been missing at least.
 pub fn decide_failover(missing: &MissingPrimary, failure_timeout: Duration) -> FailoverDecision {
     if missing.missing_for < failure_timeout {
         return FailoverDecision::Keep;
@@ -84,23 +88,24 @@
     }
 }
 
-/// A replica that may take over.
+/// A replica that may take over as primary.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SuccessorCandidate {
-    /// The last position that it has received; none if it did not tell.
+    /// The last position that it has received; `None` if it did not report it.
     pub received: Option<Position>,
-    /// Whether it stays, and may lead where it stands.
+    /// Whether it may become the primary: it is not leaving, and its locality allows it.
     pub eligible: bool,
-    /// How well its place fits as the primary's; the greater one goes first among those that
-    /// received as much.
+    /// How well its locality suits a primary. Decides between candidates that have received the
+    /// same position; the higher score wins.
     pub placement_score: u64,
 }
 
-/// The replica that takes over: of those that stay, the one that received most.
+/// The index of the replica that takes over: the eligible one that has received most.
 ///
-/// With `synchronous_replicas` above zero an acknowledged commit stands on at least so many
-/// replicas. The successor surely holds it if at most `synchronous_replicas - 1` replicas did not
-/// tell what they received and no replica that leaves has received more. None if that is not so.
+/// With `synchronous_replicas` above zero, an acknowledged commit is stored on at least that many
+/// replicas. The successor is certain to hold it if at most `synchronous_replicas - 1` replicas did
+/// not report what they received, and no ineligible replica has received more. Otherwise the
+/// result is `None`.
 pub fn choose_successor(
     candidates: &[SuccessorCandidate],
     synchronous_replicas: usize,
--- a/crates/spurpier-core/src/leader/lease.rs
+++ b/crates/spurpier-core/src/leader/lease.rs
@@ -1,18 +1,21 @@
-//! Who may use a server as its group's lead, and when a replacement may be ordered.
+//! Which server a node may use as a group's leader, and when a replacement may be promoted.
 //!
-//! A replaced primary goes on accepting work until it hears of its successor, so that an accepted
-//! transaction proves the lead only while no replacement can have taken effect. Each decision stands
-//! in the platform's store before it is ordered: a [`Succession`] names the one server that may be
-//! used as the lead from then on. Two rules keep the old and the new primary apart:
+//! A replaced primary goes on accepting work until it learns of its successor. An accepted
+//! transaction therefore proves leadership only while no replacement can have taken effect. Each
+//! decision is stored in the platform's store before the successor is promoted: a [`Succession`]
+//! names the one server that may be used as the leader from then on. Two rules keep the old and the
+//! new primary apart:
 //!
-//! - A node uses a lead, and believes its answers, only under a lease ([`holds_leader_lease`]): while what the
-//!   store has told it of the successions in its present life is younger than [`LEADER_LEASE`], and only if
-//!   the newest succession that it knows names that server.
-//! - The node that decides orders only when every other node has yielded to the succession, or when
-//!   every lease has ended that was taken without knowing it ([`LeaseReleaseRound`]).
+//! - A node uses a leader, and believes its answers, only under a leader lease
+//!   ([`holds_leader_lease`]). The node holds the lease while its knowledge of the successions, as
+//!   the store reported them to its present incarnation, is younger than [`LEADER_LEASE`]. The
+//!   newest succession that it knows must name that server.
+//! - The deciding node promotes the successor only once every other node has released its lease for
+//!   the former leader, or once all leases that were obtained without knowledge of the succession
+//!   have expired ([`LeaseReleaseRound`]).
 //!
-//! All times are of the own steady clock; no node trusts another one's. While the store is away,
-//! nobody can decide.
+//! All times are those of a node's own monotonic clock; no node relies on the clock of another.
+//! While the store is unavailable, no node can decide.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -24,33 +27,38 @@
 use crate::time::Timestamp;
 use crate::wire::{decode_text, encode_text};
 
-/// For how long what the store has told allows the use of a lead. Longer than the store is away at
-/// a time, also from a part of the nodes that is cut off together with the primary.
+/// How long a report of the store allows the use of a leader. Longer than an outage of the store
+/// lasts, also for nodes that are partitioned from the store together with the primary.
 pub const LEADER_LEASE: Duration = Duration::from_secs(10);
-/// What is waited beyond the leases: clocks drift, and the store may hold back a change for a
-/// second while it tells that nothing has changed.
+/// How long the deciding node waits beyond the end of the leases. It covers clock drift and the
+/// store, which may withhold a change for a second while it reports that nothing has changed.
 pub const LEADER_LEASE_MARGIN: Duration = Duration::from_millis(1_200);
-/// For how long after the store has shown that no newer decision exists this one may be ordered.
-/// Far shorter than a newer decision must wait for a node that has not yielded to it.
+/// How long the successor may be promoted after the store has confirmed that no newer decision
+/// exists. Far shorter than the time for which a newer decision waits for a node that has not
+/// released its lease.
 pub const PROMOTION_WINDOW: Duration = Duration::from_millis(700);
 
-/// The decision that a server takes over its group: from then on no other may be used as the lead.
+/// The decision that a server takes over its group. From then on no other server may be used as the
+/// leader.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Succession {
-    /// The token of the decision, of one series for all groups; a higher one replaces it.
+    /// The fencing token of the decision. All groups share one sequence, and a higher token
+    /// replaces a lower one.
     pub token: u64,
-    /// The life of a server that takes over; a later life of it is not meant.
+    /// The incarnation of the server that takes over. A later incarnation is not the successor.
     pub successor: Incarnation,
-    /// What it had received when it was chosen, which its log holds as long as that life lasts.
+    /// The position that the successor had received when it was chosen. Its log holds that position
+    /// for the rest of the incarnation.
     pub received: Position,
-    /// The primary that steps down for it and lives on, until it has been ordered to lead: a node
-    /// that takes the decision over orders nobody that lacks what this one holds.
+    /// The primary that steps down for the successor and stays in service; `None` if there is none,
+    /// or once the successor has been promoted. A node that takes over the decision promotes no
+    /// server that lacks what the deposed primary holds.
     pub deposed: Option<Incarnation>,
 }
 
 impl Succession {
-    /// The succession that is told by its token and the name of the server, and by what came to be
-    /// told beside these.
+    /// Creates a succession from its token, the name of the successor and the details that rows and
+    /// messages carry after these.
     pub fn from_parts(token: u64, name: &str, details: SuccessorDetails) -> Self {
         Succession {
             token,
@@ -60,7 +68,7 @@
         }
     }
 
-    /// What is told beside its token and the name of the server.
+    /// The part that rows and messages carry after the token and the name of the successor.
     pub fn details(&self) -> SuccessorDetails {
         SuccessorDetails {
             started_ms: self.successor.started_ms(),
@@ -70,15 +78,19 @@
     }
 }
 
-/// What is told of a successor at the end of a row or message: nodes that do not know of it stop
-/// reading before, and of what they write it is not known.
+/// The part of a succession that is encoded at the end of a row or message.
+///
+/// Older nodes stop reading before it. The details are unknown in what they write, which decodes to
+/// the default.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct SuccessorDetails {
-    /// When the server started, by its own clock; none if it is not known.
+    /// When the server started, in milliseconds of its own wall clock; `None` if unknown.
     pub started_ms: Option<u64>,
-    /// What it had received when it was chosen; the start of the log if that is not known.
+    /// The position that the successor had received when it was chosen; the start of the log if
+    /// unknown.
     pub received: Position,
-    /// The primary that steps down for it and lives on, until it has been ordered to lead.
+    /// The primary that steps down for the successor and stays in service; `None` if there is none,
+    /// or once the successor has been promoted.
     pub deposed: Option<Incarnation>,
 }
 
@@ -132,8 +144,10 @@
     }
 }
 
-/// Whether a node holds the lease to use leads, of whatever group; `reported_at` is the moment up to which
-/// the store has told of all successions in this life of the node, none if it has not.
+/// Whether a node holds the leader lease, which covers the leaders of all groups.
+///
+/// `reported_at` is the moment up to which the store has reported all successions to this
+/// incarnation of the node; `None` if it has not.
 pub fn holds_leader_lease(reported_at: Option<Timestamp>, now: Timestamp) -> bool {
     reported_at.is_some_and(|reported_at| now < reported_at + LEADER_LEASE)
 }
@@ -141,31 +155,31 @@
 /// What the node that has decided does next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RoundState {
-    /// It waits: a node may still use the former primary.
+    /// It waits: another node may still use the former primary.
     Wait,
     /// It asks the store whether the decision is still the newest.
     Verify,
-    /// It orders the successor to lead, at once.
+    /// It promotes the successor immediately.
     Promote,
-    /// It does nothing: there is a newer decision.
+    /// It does nothing, since a newer decision exists.
     Superseded,
 }
 
-/// The round in which the other nodes yield to a succession.
+/// The round in which the other nodes release their leader leases for a succession.
 #[derive(Debug, Clone)]
 pub struct LeaseReleaseRound {
     token: u64,
-    /// When the store had acknowledged the decision.
+    /// When the store acknowledged the decision.
     stored_at: Timestamp,
-    /// When the last question left that showed that there was no newer decision.
+    /// When the last request was sent whose answer confirmed that there was no newer decision.
     verified_at: Timestamp,
-    /// The nodes that have not yielded.
+    /// The names of the nodes that have not released their lease.
     pending: BTreeSet<String>,
 }
 
 impl LeaseReleaseRound {
-    /// The round of a decision that was sent to the store and acknowledged at these moments, among
-    /// all other nodes that may use a lead.
+    /// Starts the round of a decision that was sent to the store at `sent_at` and acknowledged by
+    /// it at `stored_at`. `others` are the names of all other nodes that may use a leader.
     pub fn new(
         token: u64,
         sent_at: Timestamp,
@@ -180,40 +194,41 @@
         }
     }
 
-    /// The decision's token.
+    /// The fencing token of the decision.
     pub fn token(&self) -> u64 {
         self.token
     }
 
-    /// Takes in another node that may use a lead.
+    /// Adds another node that may use a leader.
     pub fn add_node(&mut self, node: String) {
         self.pending.insert(node);
     }
 
-    /// Takes in that a node has yielded to a succession, to this one or to a newer one.
+    /// Records that a node has released its lease for the succession with this token. Only this
+    /// round's succession or a newer one counts.
     pub fn record_release(&mut self, node: &str, token: u64) {
         if token >= self.token {
             self.pending.remove(node);
         }
     }
 
-    /// Takes in that nobody can use the former primary any more, since it has stepped down.
+    /// Stops waiting for nodes: the former primary has stepped down, so no node can use it any
+    /// more.
     pub fn clear_pending(&mut self) {
         self.pending.clear();
     }
 
-    /// Takes in that the store's answer to a question which left at `asked_at` showed no newer
-    /// decision.
+    /// Records that the store's answer to a request sent at `asked_at` showed no newer decision.
     pub fn record_verification(&mut self, asked_at: Timestamp) {
         self.verified_at = asked_at;
     }
 
-    /// Whether a node has not yielded.
+    /// Whether a node has not released its lease.
     pub fn is_pending(&self, node: &str) -> bool {
         self.pending.contains(node)
     }
 
-    /// What is to be done, when `newest` is the highest token that is known for the group.
+    /// What to do next, if `newest` is the highest token known for the group.
     pub fn state(&self, newest: u64, now: Timestamp) -> RoundState {
         if newest > self.token {
             return RoundState::Superseded;
--- a/crates/spurpier-core/src/leader/mod.rs
+++ b/crates/spurpier-core/src/leader/mod.rs
@@ -1,10 +1,11 @@
-//! Groups that are promoted from outside: who leads, how fresh a read is, and which server runs it.
+//! Groups whose primary is promoted from outside: who leads, how fresh a read is, and which server
+//! runs it.
 //!
 //! Such a group holds no elections, and a deposed primary goes on answering reads. A server refuses
-//! a transaction that may write once it knows that it lost the lead, so that each accepted one
-//! proves the lead at a moment no earlier than the sending of its opening statement, as long as no
-//! replacement can have taken effect without the server's knowledge; `lease` sees to that. Wall
-//! clocks are not used.
+//! a transaction that may write once it knows that it no longer leads. Each transaction that it
+//! accepts therefore proves that it was the leader at some moment after the opening statement was
+//! sent, provided that no replacement took effect without the server's knowledge. `lease` ensures
+//! that. Wall clocks are not used.
 
 mod candidate;
 mod failover;
--- a/crates/spurpier-core/src/leader/promotion_lease.rs
+++ b/crates/spurpier-core/src/leader/promotion_lease.rs
@@ -1,10 +1,10 @@
-//! Who holds the duty to order promotions, and under which token.
+//! Which node holds the promotion lease, and the fencing tokens of its decisions.
 //!
-//! The holder stands in one row of the platform's store, which is only ever changed under the
-//! condition that it has not changed meanwhile. Each decision takes a new, higher token, so that
-//! an order which is carried out late is refused once a newer decision is known. Nothing is
-//! renewed while all is well. A node that needs a decision asks the holder; it takes the duty
-//! over only after the holder has not answered for a while and the row has not changed.
+//! The holder is stored in one row of the platform's store, which is written only on the condition
+//! that it has not changed since it was read. Each decision takes a new, higher fencing token, so
+//! that a promotion which is carried out late is refused once a newer decision is known. The lease
+//! needs no renewal. A node that needs a decision asks the holder. It takes over the lease only if
+//! the holder does not answer or decide in time and the row has not changed.
 
 use std::time::Duration;
 
@@ -13,27 +13,30 @@
 use crate::store_version::StoreEra;
 use crate::time::Timestamp;
 
-/// How long a holder may leave a node without an answer before the node takes the duty over.
+/// How long a holder may leave a node's requests unanswered before the node takes over the
+/// promotion lease.
 const HOLDER_RESPONSE_TIMEOUT: Duration = Duration::from_millis(900);
-/// How long a holder that answers may leave a group without a new primary.
-/// Longer than a decision waits for the leases of nodes that do not answer.
+/// How long a holder that answers may leave a group without a new primary. Longer than a decision
+/// waits for the leader leases of unresponsive nodes to expire.
 const DECISION_TIMEOUT: Duration = Duration::from_secs(13);
 
-/// The bits of a token that count decisions within an era of the store.
+/// The low bits of a token, which count the decisions within an era of the store.
 const SEQUENCE_BITS: u32 = 40;
 
-/// The row of the duty.
+/// The stored row of the promotion lease.
 #[derive(Debug, Clone, PartialEq, Eq, SerBin, DeBin)]
 pub struct PromotionLeaseRow {
-    /// The node that holds the duty.
+    /// The name of the node that holds the lease.
     pub holder: String,
-    /// The token of its newest decision.
+    /// The fencing token of its newest decision.
     pub token: u64,
 }
 
 impl PromotionLeaseRow {
-    /// The row of the next decision by a node, made in an era of the store. A store that comes back
-    /// from an older copy has lost the newest tokens: none of a later era may equal one of them.
+    /// The row for the next decision, made by `holder` in an era of the store.
+    ///
+    /// A store that was restored from an older copy has lost the newest tokens. Tokens of a new
+    /// era therefore start above all tokens of earlier eras, so that none is issued twice.
     pub fn next(current: Option<&PromotionLeaseRow>, holder: &str, era: StoreEra) -> Self {
         let first_of_era = era.number() << SEQUENCE_BITS;
         let newest = current.map_or(0, |row| row.token);
@@ -49,14 +52,14 @@
 pub enum PromotionStep {
     /// It decides itself, under a new token.
     Decide,
-    /// It asks the holder and waits.
+    /// It asks the holder to decide, and waits.
     AskHolder,
 }
 
-/// What a node knows of one holder while it needs a decision.
+/// Whether the holder of the promotion lease answers, as observed by a node that needs a decision.
 ///
-/// Time counts against the holder only from a question that it left without an answer: a node
-/// that has not asked again for a while has no reason for impatience.
+/// The response timeout runs only from a request that went unanswered. A node that has sent no
+/// request for a while has no evidence against the holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HolderStatus {
     first_asked: Timestamp,
@@ -64,7 +67,7 @@
 }
 
 impl HolderStatus {
-    /// A holder that is about to be asked for the first time.
+    /// The status of a holder that is about to be asked for the first time.
     pub fn new(now: Timestamp) -> Self {
         HolderStatus {
             first_asked: now,
@@ -72,7 +75,7 @@
         }
     }
 
-    /// Takes in what became of a question that was asked at `asked_at`.
+    /// Records whether the holder answered a request that was sent at `asked_at`.
     pub fn record_request(&mut self, asked_at: Timestamp, was_answered: bool) {
         if was_answered {
             self.unanswered_since = None;
@@ -81,7 +84,7 @@
         }
     }
 
-    /// Whether the duty may be taken over from the holder.
+    /// Whether the promotion lease may be taken over from the holder.
     fn is_lost(&self, now: Timestamp) -> bool {
         let is_unresponsive = self
             .unanswered_since
@@ -90,7 +93,10 @@
     }
 }
 
-/// What a node that needs a decision does next, by the row and what it knows of its holder.
+/// What a node that needs a decision does next.
+///
+/// `row` is the lease as it was last read, `None` if it was never stored. `holder` is the status of
+/// the holder that the row names.
 pub fn next_promotion_step(
     row: Option<&PromotionLeaseRow>,
     own_name: &str,
--- a/crates/spurpier-core/src/leader/proofs.rs
+++ b/crates/spurpier-core/src/leader/proofs.rs
@@ -1,4 +1,4 @@
-//! What proofs of lead say of a group's log.
+//! What proofs of leadership reveal about a group's log.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,37 +6,37 @@
 use crate::position::Position;
 use crate::time::Timestamp;
 
-/// Proofs closer together than this replace each other.
+/// Proofs sent closer together than this replace each other.
 const PROOF_SPACING: Duration = Duration::from_millis(25);
 /// How many proofs are kept.
 const MAX_PROOFS: usize = 256;
 
-/// The holder of the lead showed this position in answer to a message sent at this moment.
+/// The log position that the leader reported in answer to a message.
 ///
 /// The position covers every commit acknowledged before `sent_at`: it was in the log of the only
 /// server that could acknowledge commits when the message arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeadershipProof {
-    /// When the message left, on the steady clock of this node.
+    /// When the message was sent, on this node's monotonic clock.
     pub sent_at: Timestamp,
-    /// The position that the answer showed.
+    /// The position that the answer reported.
     pub position: Position,
 }
 
-/// The proofs of one group, oldest first.
+/// The recent proofs of one group, oldest first.
 #[derive(Debug, Clone, Default)]
 pub struct LeadershipProofs {
     proofs: VecDeque<LeadershipProof>,
 }
 
 impl LeadershipProofs {
-    /// Takes in a proof; answers may come in another order than their messages left.
+    /// Records a proof. Answers may arrive in another order than their messages were sent.
     pub fn record(&mut self, proof: LeadershipProof) {
         let later = self.proofs.iter().rev();
         let behind = later.take_while(|known| known.sent_at > proof.sent_at);
         let at = self.proofs.len() - behind.count();
         if at < self.proofs.len() {
-            // A later message showed a position already; this one adds only an older moment.
+            // The answer to a message sent later is known, and supersedes this one.
             return;
         }
         if self.replaces_last(proof.sent_at) {
@@ -48,7 +48,8 @@
         }
     }
 
-    /// Whether the last proof may go: the one before it is close enough to the new one.
+    /// Whether the last proof can be dropped because its predecessor is close enough to the new
+    /// one.
     fn replaces_last(&self, sent_at: Timestamp) -> bool {
         let before_last = self.proofs.len().checked_sub(2);
         before_last
@@ -62,14 +63,14 @@
         self.proofs.get(index).copied()
     }
 
-    /// For how long the lead has held more than this position, as far as is known; zero if nothing
-    /// newer is known.
+    /// How long the leader's log has been ahead of `position`, as far as is known; zero if no newer
+    /// position is known.
     pub fn replication_lag(&self, position: Position, now: Timestamp) -> Duration {
         let beyond = self.proofs.iter().find(|proof| proof.position > position);
         beyond.map_or(Duration::ZERO, |proof| now.since(proof.sent_at))
     }
 
-    /// The proof whose message left last.
+    /// The proof whose message was sent last.
     pub fn newest(&self) -> Option<LeadershipProof> {
         self.proofs.back().copied()
     }
@@ -78,18 +79,18 @@
 /// The last commit of a session.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SessionCommit {
-    /// Where it stands in the group's log.
+    /// Its position in the group's log.
     pub position: Position,
-    /// When its acknowledgement was taken in.
+    /// When its acknowledgement arrived at this node.
     pub acknowledged_at: Timestamp,
 }
 
-/// The position that a server's log must hold for a read that may lack only commits acknowledged
-/// at or after `since`, and none of the session's own.
+/// The position that a server's log must have reached to run a read. The read may miss commits
+/// acknowledged at or after `since`, but not the session's own last commit `own`.
 ///
-/// None when no proof is new enough. A proof sent after the session's commit was acknowledged
-/// stands for that commit too. So does any proof of a newer term, since that term's log starts
-/// with all that survived; positions order by term first, so that the greater one is right.
+/// `None` if no proof is recent enough. A proof sent after the session's commit was acknowledged
+/// covers that commit too. So does any proof of a newer term, since the log of that term starts
+/// with all commits that survived. Positions are ordered by term first, so the maximum is correct.
 pub fn read_floor(
     proofs: &LeadershipProofs,
     since: Timestamp,
--- a/crates/spurpier-core/src/leader/read_routing.rs
+++ b/crates/spurpier-core/src/leader/read_routing.rs
@@ -17,10 +17,11 @@
 }
 
 impl Distance {
-    /// How much longer an answer may take nearby before a server at this distance is preferred.
+    /// How much slower the answers of a nearby server may be before a server at this distance is
+    /// preferred.
     ///
-    /// It stands for the price of the bytes on the way, beside the way's own delay, which the
-    /// measured answers hold already.
+    /// The penalty accounts for the cost of the traffic. The network delay is already part of the
+    /// measured answer times.
     const fn penalty(self) -> Duration {
         match self {
             Distance::Zone => Duration::ZERO,
@@ -30,52 +31,54 @@
     }
 }
 
-/// What is known of one server when a read is placed.
+/// What is known of a server when a read is routed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServerLoad {
-    /// How far it is.
+    /// How far it is from this node.
     pub distance: Distance,
-    /// The smoothed time of its answers.
+    /// The smoothed time that it takes to answer.
     pub answer_time: Duration,
-    /// Requests of this node that run on it or wait for a connection.
+    /// Requests of this node that run on it or wait for a connection to it.
     pub in_flight: usize,
-    /// Requests that it runs at the same time.
+    /// Requests that it runs concurrently.
     pub slots: usize,
-    /// What it was last seen to show.
+    /// The log position that it last reported; `None` if it has reported none.
     pub observed: Option<ObservedPosition>,
-    /// Until when it is passed over, after it was found full or silent.
+    /// Until when it is used only if there is no other server, after it was found overloaded or
+    /// unresponsive.
     pub avoided_until: Timestamp,
-    /// Whether it may take reads at all.
+    /// Whether it accepts reads at all.
     pub accepts_reads: bool,
-    /// Whether it is taken to lead the group.
+    /// Whether this node takes it for the group's leader.
     pub is_leader: bool,
 }
 
-/// What a server was last seen to show of the group's log.
+/// The log position that a server last reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ObservedPosition {
     /// The position.
     pub position: Position,
-    /// When its answer was taken in.
+    /// When the answer that reported it arrived.
     pub observed_at: Timestamp,
-    /// For how long the lead had held more then, as far as was known.
+    /// The server's replication lag at that moment, as far as was known.
     pub lag: Duration,
 }
 
 impl ObservedPosition {
-    /// How long the position stays a sign that a replica is behind: the farther behind it is, the
-    /// longer it takes to catch up.
+    /// How long the position indicates that a replica is behind. The larger its lag, the longer
+    /// the replica takes to catch up.
     fn validity(&self) -> Duration {
         (self.lag / LAG_DIVISOR).clamp(MIN_VALIDITY, MAX_VALIDITY)
     }
 }
 
-/// The part of a replica's lag for which it is taken to stay behind.
+/// A replica is assumed to stay behind for its lag divided by this number.
 const LAG_DIVISOR: u32 = 8;
-/// The bounds of that time.
+/// The shortest time for which a replica is assumed to stay behind.
 const MIN_VALIDITY: Duration = Duration::from_millis(60);
+/// The longest time for which a replica is assumed to stay behind.
 const MAX_VALIDITY: Duration = Duration::from_millis(1_000);
-/// What is added for a server that was just found behind, so that it is tried last.
+/// Added to the cost of a server that was recently found behind, so that it is tried last.
 const LAG_PENALTY: Duration = Duration::from_millis(400);
 
 impl ServerLoad {
@@ -97,9 +100,11 @@
     }
 }
 
-/// The index of the server that a read at `floor` goes to; none if no server may take it.
+/// The index of the server that runs a read which needs the log up to `floor`; `None` if no server
+/// accepts it.
 ///
-/// Servers that are to be avoided are taken only when there is no other.
+/// Servers whose `avoided_until` has not passed are chosen only if there is no other, and those in
+/// `excluded` never.
 pub fn choose_read_server(
     loads: &[ServerLoad],
     excluded: &[usize],
