--- a/crates/spurpier-core/src/quota/votes.rs
+++ b/crates/spurpier-core/src/quota/votes.rs
@@ -8,9 +8,9 @@
 /// A moment on an authority's clock. A node that has been told one knows that all it sends later is
 /// sent after it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Stamp {
+pub struct AuthorityTimestamp {
     /// The life of the authority's process.
-    pub life: u64,
+    pub incarnation: u64,
     /// The moment.
     pub at: Timestamp,
 }
@@ -18,9 +18,9 @@
 /// The votes of an authority.
 #[derive(Debug)]
 pub struct Votes {
-    life: u64,
+    incarnation: u64,
     /// How long a vote counts.
-    vote_life: Duration,
+    vote_ttl: Duration,
     /// The moment after which each node sent its last question.
     voters: HashMap<String, Timestamp>,
     /// Since when more than half of the nodes have asked, without a break.
@@ -28,40 +28,47 @@
 }
 
 impl Votes {
-    /// No votes; `life` differs between the lives of the authority's process.
-    pub fn new(vote_life: Duration, life: u64) -> Self {
+    /// No votes; `incarnation` differs between the lives of the authority's process.
+    pub fn new(vote_ttl: Duration, incarnation: u64) -> Self {
         Votes {
-            life,
-            vote_life,
+            incarnation,
+            vote_ttl,
             voters: HashMap::new(),
             majority_since: None,
         }
     }
 
     /// The present moment, to be told to those that ask.
-    pub fn stamp(&self, now: Timestamp) -> Stamp {
-        Stamp {
-            life: self.life,
+    pub fn timestamp(&self, now: Timestamp) -> AuthorityTimestamp {
+        AuthorityTimestamp {
+            incarnation: self.incarnation,
             at: now,
         }
     }
 
     /// Takes in that one of so many listed nodes asks, after a moment that it was told. Without one
     /// it does not vote yet.
-    pub fn note(&mut self, voter: &str, sent_after: Option<Stamp>, nodes: usize, now: Timestamp) {
+    pub fn record(
+        &mut self,
+        voter: &str,
+        sent_after: Option<AuthorityTimestamp>,
+        nodes: usize,
+        now: Timestamp,
+    ) {
         // What was asked before this question decides whether there was a break.
-        self.look(nodes, now);
-        let sent_after = sent_after.filter(|stamp| stamp.life == self.life && stamp.at <= now);
-        let Some(stamp) = sent_after else {
+        self.refresh(nodes, now);
+        let sent_after = sent_after
+            .filter(|timestamp| timestamp.incarnation == self.incarnation && timestamp.at <= now);
+        let Some(timestamp) = sent_after else {
             return;
         };
         match self.voters.get_mut(voter) {
-            Some(sent_after) => *sent_after = stamp.at.max(*sent_after),
+            Some(sent_after) => *sent_after = timestamp.at.max(*sent_after),
             None => {
-                self.voters.insert(voter.to_owned(), stamp.at);
+                self.voters.insert(voter.to_owned(), timestamp.at);
             }
         }
-        self.look(nodes, now);
+        self.refresh(nodes, now);
     }
 
     /// Since when most nodes have asked, each within the life of a vote and without a break.
@@ -70,10 +77,10 @@
     }
 
     /// Drops votes that are over, and looks whether those of most nodes are left.
-    fn look(&mut self, nodes: usize, now: Timestamp) {
-        let vote_life = self.vote_life;
+    fn refresh(&mut self, nodes: usize, now: Timestamp) {
+        let vote_ttl = self.vote_ttl;
         self.voters
-            .retain(|_, sent_after| now.since(*sent_after) < vote_life);
+            .retain(|_, sent_after| now.since(*sent_after) < vote_ttl);
         if self.voters.len() * 2 <= nodes {
             self.majority_since = None;
         } else if self.majority_since.is_none() {
--- a/crates/spurpier-core/tests/cold.rs
+++ b/crates/spurpier-core/tests/cold.rs
@@ -16,7 +16,7 @@
 use proptest::test_runner::TestRunner;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 use spurpier_core::places::{ColdBound, Coldness, is_entry_outdated};
-use spurpier_core::quota::{Grant, Ledger, Taken};
+use spurpier_core::quota::{AcquireOutcome, Grant, PermitCache};
 use spurpier_core::store_version::StoreVersion;
 use spurpier_core::time::Timestamp;
 
@@ -197,19 +197,31 @@
 #[test]
 fn a_pause_is_known_without_taking_a_leave() {
     let now = Timestamp::from_millis(10_000);
-    let pause = Duration::from_millis(80);
-    let mut ledger = Ledger::default();
+    let retry_after = Duration::from_millis(80);
+    let mut ledger = PermitCache::default();
     assert_eq!(ledger.limited_for("server", now), None);
-    let leaves = ledger.note_grant("server", Grant { leaves: 1, pause }, 2, now, now);
+    let leaves = ledger.record_grant(
+        "server",
+        Grant {
+            permits: 1,
+            retry_after,
+        },
+        2,
+        now,
+        now,
+    );
     assert_eq!(
-        ledger.limited_for("server", now + pause / 2),
-        Some(pause / 2)
+        ledger.limited_for("server", now + retry_after / 2),
+        Some(retry_after / 2)
     );
-    ledger.put_back("server", leaves[0], now);
+    ledger.return_unused("server", leaves[0], now);
     assert_eq!(ledger.limited_for("server", now), None);
-    assert_eq!(ledger.take("server", now), Taken::Leave(leaves[0]));
-    assert_eq!(ledger.limited_for("server", now), Some(pause));
-    assert_eq!(ledger.limited_for("server", now + pause), None);
+    assert_eq!(
+        ledger.acquire("server", now),
+        AcquireOutcome::Permit(leaves[0])
+    );
+    assert_eq!(ledger.limited_for("server", now), Some(retry_after));
+    assert_eq!(ledger.limited_for("server", now + retry_after), None);
 }
 
 #[test]
--- a/crates/spurpier-core/tests/cold_model/mod.rs
+++ b/crates/spurpier-core/tests/cold_model/mod.rs
@@ -5,8 +5,8 @@
 use proptest::prelude::*;
 use spurpier_core::places::{COLD_WINDOW, ColdBound, Coldness, is_entry_outdated};
 use spurpier_core::quota::{
-    Authority, AuthorityChoice, Bucket, Budget, Grant, Ledger, QuotaRate, Stamp, Taken, VOTE_LIFE,
-    Want,
+    AcquireOutcome, Authority, AuthoritySelector, AuthorityTimestamp, Budget, Grant, PermitCache,
+    PermitDemand, QuotaRate, TokenBucket, VOTE_TTL,
 };
 use spurpier_core::store_version::StoreVersion;
 use spurpier_core::time::Timestamp;
@@ -103,13 +103,13 @@
 enum Message {
     Question {
         waiting: u32,
-        sent_after: Option<Stamp>,
+        sent_after: Option<AuthorityTimestamp>,
     },
     Answer {
         grant: Grant,
         waiting: u32,
         has_majority: bool,
-        stamp: Stamp,
+        stamp: AuthorityTimestamp,
     },
     /// A request that another node is to send.
     HandedOn { asked_at: Timestamp },
@@ -128,10 +128,10 @@
 
 #[derive(Debug)]
 struct Node {
-    ledger: Ledger,
+    ledger: PermitCache,
     authority: Authority,
-    choice: AuthorityChoice,
-    bucket: Bucket,
+    choice: AuthoritySelector,
+    bucket: TokenBucket,
     reachable: u8,
     /// How many nodes its list holds beside those of the model.
     more_listed: usize,
@@ -314,14 +314,15 @@
                     return;
                 }
                 let name = NAMES[letter.from];
-                node.choice.note_answer(name, has_majority, stamp, self.now);
+                node.choice
+                    .record_response(name, has_majority, stamp, self.now);
                 let asked_at = match self.breakage {
                     Breakage::LastingLeaves => self.now,
                     _ => letter.asked_at,
                 };
                 let leaves = node
                     .ledger
-                    .note_grant(SERVER, grant, waiting, asked_at, self.now);
+                    .record_grant(SERVER, grant, waiting, asked_at, self.now);
                 for _ in leaves {
                     self.sent.push((self.now, letter.asked_at));
                 }
@@ -330,8 +331,8 @@
         }
     }
 
-    fn answer(&mut self, letter: Mail, waiting: u32, sent_after: Option<Stamp>) {
-        let want = Want {
+    fn answer(&mut self, letter: Mail, waiting: u32, sent_after: Option<AuthorityTimestamp>) {
+        let want = PermitDemand {
             waiting,
             rate: self.rate(),
             version: 1,
@@ -342,8 +343,8 @@
             _ => NODES + node.more_listed,
         };
         let authority = &mut node.authority;
-        let stamp = authority.stamp(self.now);
-        authority.note_vote(NAMES[letter.from], sent_after, listed, self.now);
+        let stamp = authority.timestamp(self.now);
+        authority.record_vote(NAMES[letter.from], sent_after, listed, self.now);
         let grant = authority.grant(SERVER, want, 0.5, self.now);
         let message = Message::Answer {
             grant,
@@ -409,11 +410,11 @@
             // Without messages, what is saved up comes off the rate and nothing else does.
             per_second: (per_second - 1.0).max(per_second / 2.0),
             capacity: 1.0,
-            set_aside: 0.0,
+            zone_reserve: 0.0,
             window: COLD_WINDOW,
         };
         node.bucket.set_budget(budget, now);
-        if node.bucket.give(1, now) == 1 {
+        if node.bucket.take_up_to(1, now) == 1 {
             self.sent.push((now, asked_at));
         }
     }
@@ -444,13 +445,13 @@
     fn ask_for_leaves(&mut self, node: usize) {
         let mut waiting = 0;
         for _ in 0..self.demand {
-            match self.nodes[node].ledger.take(SERVER, self.now) {
-                Taken::Leave(_) => self.sent.push((self.now, self.now)),
-                Taken::Limited(_) => {}
-                Taken::Ask => waiting += 1,
+            match self.nodes[node].ledger.acquire(SERVER, self.now) {
+                AcquireOutcome::Permit(_) => self.sent.push((self.now, self.now)),
+                AcquireOutcome::Limited(_) => {}
+                AcquireOutcome::AskAuthority => waiting += 1,
             }
         }
-        let asked_for = self.nodes[node].choice.asked_for(self.now);
+        let asked_for = self.nodes[node].choice.time_since_request(self.now);
         let is_vote_due = asked_for.is_none_or(|time| time >= VOTE_INTERVAL);
         if waiting > 0 || is_vote_due {
             self.ask(node, waiting);
@@ -461,8 +462,8 @@
         let Some(authority) = self.choose(node) else {
             return;
         };
-        self.nodes[node].choice.note_asked(self.now);
-        let sent_after = self.nodes[node].choice.sent_after(self.now);
+        self.nodes[node].choice.record_request(self.now);
+        let sent_after = self.nodes[node].choice.authority_time(self.now);
         let question = Mail {
             from: node,
             to: authority,
@@ -485,7 +486,7 @@
             .filter(|(other, _)| (reachable >> other) & 1 == 1)
             .map(|(_, name)| *name)
             .collect();
-        let chosen = self.nodes[node].choice.choose(&reachable, now)?;
+        let chosen = self.nodes[node].choice.select(&reachable, now)?;
         NAMES.iter().position(|name| *name == chosen)
     }
 }
@@ -517,10 +518,10 @@
     );
     let rate = BOUND.rate(per_second).expect("more than one request");
     Node {
-        ledger: Ledger::default(),
+        ledger: PermitCache::default(),
         authority: Authority::new(ColdBound::COUNTED, life),
-        choice: AuthorityChoice::new(VOTE_LIFE),
-        bucket: Bucket::begun_at(Budget::of(rate, ColdBound::COUNTED), now),
+        choice: AuthoritySelector::new(VOTE_TTL),
+        bucket: TokenBucket::started_at(Budget::for_rate(rate, ColdBound::COUNTED), now),
         reachable: (1 << NODES) - 1,
         more_listed: 0,
         is_frozen: false,
--- a/crates/spurpier-core/tests/quota.rs
+++ b/crates/spurpier-core/tests/quota.rs
@@ -1,4 +1,4 @@
-//! Leave to start tenants' operations, in a model with cuts, pauses, restarts, late and lost
+//! Permits to start tenants' operations, in a model with cuts, pauses, restarts, late and lost
 //! messages, nodes that are wrong about whom they reach, and limits that change. The oracle counts
 //! every sliding window.
 //!
@@ -15,8 +15,8 @@
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 use quota_model::{BOUND, Breakage, NODES, RATES, Step, World, ZONES, steps};
 use spurpier_core::quota::{
-    AuthorityChoice, Bucket, Budget, Grant, LEAVE_LIFE, Ledger, NodePlace, QuotaRate, Stamp, Taken,
-    VOTE_LIFE, ZonePlace, choose_apart,
+    AcquireOutcome, AuthoritySelector, AuthorityTimestamp, Budget, Grant, NodeLocality, PERMIT_TTL,
+    PermitCache, QuotaRate, TokenBucket, VOTE_TTL, ZonePosition, select_diverse_nodes,
 };
 use spurpier_core::time::Timestamp;
 
@@ -40,9 +40,9 @@
     fn apply((): (), _: &Step) {}
 }
 
-struct Quotas;
+struct QuotaTest;
 
-impl StateMachineTest for Quotas {
+impl StateMachineTest for QuotaTest {
     type SystemUnderTest = World;
     type Reference = AnyStep;
 
@@ -56,7 +56,7 @@
     }
 
     fn check_invariants(world: &World, (): &()) {
-        assert_eq!(world.broken_window(), None);
+        assert_eq!(world.violated_window(), None);
     }
 }
 
@@ -64,249 +64,283 @@
     #![proptest_config(config(cases(DEFAULT_CASES)))]
 
     #[test]
-    fn no_window_holds_more_than_its_bound(sequential 1..60 => Quotas);
+    fn no_window_exceeds_its_bound(sequential 1..60 => QuotaTest);
 }
 
 /// Whether random steps find that a window holds more than its bound.
-fn is_noticed(breakage: Breakage) -> bool {
+fn is_detected(breakage: Breakage) -> bool {
     let mut runner = TestRunner::new(config(400));
     let cases = proptest::collection::vec(steps(), 1..60);
-    let played = runner.run(&cases, |steps| {
+    let result = runner.run(&cases, |steps| {
         let mut world = World::new(breakage);
         steps.into_iter().for_each(|step| world.apply(step));
-        prop_assert!(world.broken_window().is_none());
+        prop_assert!(world.violated_window().is_none());
         Ok(())
     });
-    played.is_err()
+    result.is_err()
 }
 
 #[test]
-fn the_model_notices_each_mechanism_that_is_taken_out() {
-    for breakage in Breakage::COMMON {
-        assert!(is_noticed(breakage), "{breakage:?}");
+fn the_model_detects_each_disabled_mechanism() {
+    for breakage in Breakage::FOUND_BY_RANDOM_STEPS {
+        assert!(is_detected(breakage), "{breakage:?}");
     }
 }
 
 /// All nodes go from one authority to another and back, faster than their votes end.
 #[test]
-fn two_authorities_in_turn_give_no_more_than_one() {
+fn alternating_authorities_grant_no_more_than_one() {
     let mut world = World::new(Breakage::None);
     world.apply(Step::Demand(12));
     for turn in 0..40 {
         for node in 0..NODES {
-            world.apply(Step::Believe(node, 1 << (turn % 2)));
+            world.apply(Step::SetReachable(node, 1 << (turn % 2)));
         }
-        world.apply(Step::Pass(6));
+        world.apply(Step::Advance(6));
     }
-    assert_eq!(world.broken_window(), None);
+    assert_eq!(world.violated_window(), None);
 }
 
 #[test]
-fn another_authority_is_asked_when_the_vote_for_the_former_one_is_over() {
-    let asked_at = Timestamp::from_millis(10_000);
-    let mut choice = AuthorityChoice::new(VOTE_LIFE);
-    assert_eq!(choice.choose(&["n0", "n1"], asked_at), Some("n0"));
-    choice.note_asked(asked_at);
-    let before = (asked_at + VOTE_LIFE).before(Duration::from_millis(1));
-    assert_eq!(choice.choose(&["n1"], before), None);
-    assert_eq!(choice.choose(&["n0", "n1"], before), Some("n0"));
-    assert_eq!(choice.choose(&["n1"], asked_at + VOTE_LIFE), Some("n1"));
+fn another_authority_is_selected_once_the_previous_vote_expires() {
+    let requested_at = Timestamp::from_millis(10_000);
+    let mut selector = AuthoritySelector::new(VOTE_TTL);
+    assert_eq!(selector.select(&["n0", "n1"], requested_at), Some("n0"));
+    selector.record_request(requested_at);
+    let before = (requested_at + VOTE_TTL).before(Duration::from_millis(1));
+    assert_eq!(selector.select(&["n1"], before), None);
+    assert_eq!(selector.select(&["n0", "n1"], before), Some("n0"));
+    assert_eq!(
+        selector.select(&["n1"], requested_at + VOTE_TTL),
+        Some("n1")
+    );
     // One that leaves gives nothing more, and votes for it are void.
-    choice.note_asked(asked_at + VOTE_LIFE);
-    choice.note_left("n1");
-    assert_eq!(choice.choose(&["n2"], asked_at + VOTE_LIFE), Some("n2"));
+    selector.record_request(requested_at + VOTE_TTL);
+    selector.record_departure("n1");
+    assert_eq!(
+        selector.select(&["n2"], requested_at + VOTE_TTL),
+        Some("n2")
+    );
 }
 
 #[test]
-fn a_node_stays_with_a_majority_and_leaves_a_minority() {
+fn a_node_keeps_an_authority_with_a_majority_and_leaves_one_without() {
     let start = Timestamp::from_millis(10_000);
-    let stamp = Stamp { life: 1, at: start };
-    let mut choice = AuthorityChoice::new(VOTE_LIFE);
-    assert_eq!(choice.choose(&["n1"], start), Some("n1"));
-    choice.note_answer("n1", true, stamp, start);
-    let later = start + VOTE_LIFE;
-    assert_eq!(choice.choose(&["n0", "n1"], later), Some("n1"));
-    choice.note_answer("n1", false, stamp, later);
-    assert_eq!(choice.choose(&["n0", "n1"], later), Some("n0"));
+    let timestamp = AuthorityTimestamp {
+        incarnation: 1,
+        at: start,
+    };
+    let mut selector = AuthoritySelector::new(VOTE_TTL);
+    assert_eq!(selector.select(&["n1"], start), Some("n1"));
+    selector.record_response("n1", true, timestamp, start);
+    let later = start + VOTE_TTL;
+    assert_eq!(selector.select(&["n0", "n1"], later), Some("n1"));
+    selector.record_response("n1", false, timestamp, later);
+    assert_eq!(selector.select(&["n0", "n1"], later), Some("n0"));
     // Most nodes may be with the second one.
-    choice.note_answer("n0", false, stamp, later);
-    assert_eq!(choice.choose(&["n0", "n1"], later), Some("n0"));
-    let patient = later + Duration::from_secs(2);
-    assert_eq!(choice.choose(&["n0", "n1"], patient), Some("n1"));
+    selector.record_response("n0", false, timestamp, later);
+    assert_eq!(selector.select(&["n0", "n1"], later), Some("n0"));
+    let after_timeout = later + Duration::from_secs(2);
+    assert_eq!(selector.select(&["n0", "n1"], after_timeout), Some("n1"));
 }
 
 #[test]
-fn leaves_that_come_late_are_not_used() {
-    let asked_at = Timestamp::from_millis(10_000);
+fn late_permits_are_not_used() {
+    let requested_at = Timestamp::from_millis(10_000);
     let grant = Grant {
-        leaves: 2,
-        pause: Duration::from_millis(50),
+        permits: 2,
+        retry_after: Duration::from_millis(50),
     };
-    let mut ledger = Ledger::default();
-    let in_time = (asked_at + LEAVE_LIFE).before(Duration::from_millis(1));
-    let leaves = ledger.note_grant("t", grant, 2, asked_at, in_time);
-    assert_eq!(leaves.len(), 2);
-    let late = asked_at + LEAVE_LIFE;
-    assert_eq!(ledger.note_grant("t", grant, 2, asked_at, late), []);
+    let mut permit_cache = PermitCache::default();
+    let in_time = (requested_at + PERMIT_TTL).before(Duration::from_millis(1));
+    let permits = permit_cache.record_grant("t", grant, 2, requested_at, in_time);
+    assert_eq!(permits.len(), 2);
+    let late = requested_at + PERMIT_TTL;
+    assert_eq!(
+        permit_cache.record_grant("t", grant, 2, requested_at, late),
+        []
+    );
     // One whose operation has not run is used again while it lives.
-    ledger.put_back("t", leaves[0], in_time);
-    ledger.put_back("t", leaves[1], in_time);
-    assert_eq!(ledger.take("t", in_time), Taken::Leave(leaves[0]));
-    assert_eq!(ledger.take("t", late), Taken::Ask);
+    permit_cache.return_unused("t", permits[0], in_time);
+    permit_cache.return_unused("t", permits[1], in_time);
+    assert_eq!(
+        permit_cache.acquire("t", in_time),
+        AcquireOutcome::Permit(permits[0])
+    );
+    assert_eq!(
+        permit_cache.acquire("t", late),
+        AcquireOutcome::AskAuthority
+    );
 }
 
 #[test]
-fn a_refused_tenant_is_refused_without_a_question_until_the_pause_is_over() {
+fn a_limited_tenant_is_refused_locally_until_the_retry_delay_ends() {
     let now = Timestamp::from_millis(10_000);
-    let pause = Duration::from_millis(80);
-    let grant = Grant { leaves: 1, pause };
-    let mut ledger = Ledger::default();
-    assert_eq!(ledger.take("t", now), Taken::Ask);
-    assert_eq!(ledger.note_grant("t", grant, 3, now, now).len(), 1);
-    let half = now + pause / 2;
-    assert_eq!(ledger.take("t", half), Taken::Limited(pause / 2));
-    assert_eq!(ledger.take("other", half), Taken::Ask);
-    assert_eq!(ledger.take("t", now + pause), Taken::Ask);
+    let retry_after = Duration::from_millis(80);
+    let grant = Grant {
+        permits: 1,
+        retry_after,
+    };
+    let mut permit_cache = PermitCache::default();
+    assert_eq!(permit_cache.acquire("t", now), AcquireOutcome::AskAuthority);
+    assert_eq!(permit_cache.record_grant("t", grant, 3, now, now).len(), 1);
+    let half = now + retry_after / 2;
+    assert_eq!(
+        permit_cache.acquire("t", half),
+        AcquireOutcome::Limited(retry_after / 2)
+    );
+    assert_eq!(
+        permit_cache.acquire("other", half),
+        AcquireOutcome::AskAuthority
+    );
+    assert_eq!(
+        permit_cache.acquire("t", now + retry_after),
+        AcquireOutcome::AskAuthority
+    );
 }
 
 /// Questions of three seconds meet an authority that stood still, while most nodes ask another one.
 #[test]
-fn questions_that_come_late_are_no_votes() {
-    let play = |breakage| {
+fn delayed_requests_do_not_count_as_votes() {
+    let run = |breakage| {
         let mut world = World::new(breakage);
         world.apply(Step::Demand(12));
-        world.apply(Step::Pass(40));
+        world.apply(Step::Advance(40));
         // Votes alone are on the way.
         world.apply(Step::Demand(0));
         world.apply(Step::Delay(3_000));
-        world.apply(Step::Pass(59));
+        world.apply(Step::Advance(59));
         world.apply(Step::Delay(20));
         world.apply(Step::Demand(12));
         for node in 2..NODES {
-            world.apply(Step::Believe(node, 0b1_1110));
+            world.apply(Step::SetReachable(node, 0b1_1110));
         }
-        world.apply(Step::Pass(120));
-        world.broken_window()
+        world.apply(Step::Advance(120));
+        world.violated_window()
     };
-    assert_eq!(play(Breakage::None), None);
-    assert!(play(Breakage::OldVotes).is_some());
+    assert_eq!(run(Breakage::None), None);
+    assert!(run(Breakage::StaleVotes).is_some());
 }
 
 /// Operations that a tenant far beyond its limit is served in calm, beside its limit.
 #[test]
-fn a_hot_tenant_is_served_nearly_all_of_its_limit() {
+fn an_overloaded_tenant_is_served_nearly_its_whole_limit() {
     for (index, rate) in [(0, 200.0), (1, 40.0), (2, 8.0)] {
         let mut world = World::new(Breakage::None);
         world.apply(Step::Limit(index));
         world.apply(Step::Demand(12));
         let before = world.arrived();
         let seconds = 30;
-        (0..seconds).for_each(|_| world.apply(Step::Pass(20)));
+        (0..seconds).for_each(|_| world.apply(Step::Advance(20)));
         let served = (world.arrived() - before) as f64;
         let limit = rate * f64::from(seconds);
         assert!(served >= limit * 0.95, "{served} of {limit}");
-        assert_eq!(world.broken_window(), None);
+        assert_eq!(world.violated_window(), None);
     }
 }
 
 /// The nodes of the zone that is cut off.
-const CUT_ZONE: u8 = ZONES[1];
+const ISOLATED_ZONE: u8 = ZONES[1];
 
 /// The second zone and the others no longer reach each other, and know it.
-fn cut_zone_off(world: &mut World) {
-    world.apply(Step::Cut(CUT_ZONE));
+fn isolate_zone(world: &mut World) {
+    world.apply(Step::Partition(ISOLATED_ZONE));
     for node in 0..NODES {
-        let is_cut = (CUT_ZONE >> node) & 1 == 1;
-        world.apply(Step::Believe(
+        let is_cut = (ISOLATED_ZONE >> node) & 1 == 1;
+        world.apply(Step::SetReachable(
             node,
-            if is_cut { CUT_ZONE } else { !CUT_ZONE },
+            if is_cut {
+                ISOLATED_ZONE
+            } else {
+                !ISOLATED_ZONE
+            },
         ));
     }
 }
 
-fn pass_seconds(world: &mut World, seconds: u8) {
-    (0..seconds).for_each(|_| world.apply(Step::Pass(20)));
+fn advance_seconds(world: &mut World, seconds: u8) {
+    (0..seconds).for_each(|_| world.apply(Step::Advance(20)));
 }
 
 /// What the nodes of a zone serve of a tenant beyond its limit while they are cut off for 8 s: its
 /// part of the slack in each of two windows. With the remainder that was shared by votes among all
 /// authorities without a majority, 3 for the largest limit and none for the others.
 #[test]
-fn a_zone_that_is_cut_off_serves_its_part_of_the_slack() {
+fn a_partitioned_zone_serves_its_reserve() {
     for (limit, rate) in RATES.iter().enumerate() {
         let mut world = World::new(Breakage::None);
         world.apply(Step::Limit(limit));
-        pass_seconds(&mut world, 10);
-        let before = world.started_by(CUT_ZONE);
-        cut_zone_off(&mut world);
-        pass_seconds(&mut world, 8);
-        let served = world.started_by(CUT_ZONE) - before;
+        advance_seconds(&mut world, 10);
+        let before = world.started_by(ISOLATED_ZONE);
+        isolate_zone(&mut world);
+        advance_seconds(&mut world, 8);
+        let served = world.started_by(ISOLATED_ZONE) - before;
         assert!(served >= 18, "{served} with {rate:?}");
-        assert_eq!(world.broken_window(), None);
+        assert_eq!(world.violated_window(), None);
     }
 }
 
 /// Whether a window holds more than its bound once zones are cut off and `then` has happened.
-fn is_broken_in_a_cut(breakage: Breakage, then: impl Fn(&mut World)) -> bool {
+fn is_violated_in_partition(breakage: Breakage, then: impl Fn(&mut World)) -> bool {
     let mut world = World::new(breakage);
     world.apply(Step::Limit(4));
-    pass_seconds(&mut world, 10);
-    cut_zone_off(&mut world);
+    advance_seconds(&mut world, 10);
+    isolate_zone(&mut world);
     then(&mut world);
-    pass_seconds(&mut world, 20);
-    world.broken_window().is_some()
+    advance_seconds(&mut world, 20);
+    world.violated_window().is_some()
 }
 
 #[test]
-fn nodes_that_are_alone_do_not_use_their_zones_part() {
+fn isolated_nodes_do_not_use_their_zones_reserve() {
     let isolate = |world: &mut World| {
-        (0..NODES).for_each(|node| world.apply(Step::Believe(node, 1 << node)));
+        (0..NODES).for_each(|node| world.apply(Step::SetReachable(node, 1 << node)));
     };
-    assert!(!is_broken_in_a_cut(Breakage::None, isolate));
-    assert!(is_broken_in_a_cut(Breakage::ZoneMajority, isolate));
+    assert!(!is_violated_in_partition(Breakage::None, isolate));
+    assert!(is_violated_in_partition(Breakage::ZoneMajority, isolate));
 }
 
 /// No zone has most of all nodes, and each uses its own part.
 #[test]
-fn zones_that_are_all_cut_off_use_no_more_than_their_parts() {
+fn partitioned_zones_use_no_more_than_their_reserves() {
     let freeze = |world: &mut World| world.apply(Step::Freeze(2, true));
-    assert!(!is_broken_in_a_cut(Breakage::None, freeze));
-    assert!(is_broken_in_a_cut(Breakage::WholeSlack, freeze));
+    assert!(!is_violated_in_partition(Breakage::None, freeze));
+    assert!(is_violated_in_partition(Breakage::UndividedSlack, freeze));
 }
 
 /// Most nodes are nowhere together, and the authority of each zone changes again and again.
 #[test]
-fn authorities_of_a_zone_in_turn_give_no_more_than_one() {
+fn alternating_zone_authorities_grant_no_more_than_one() {
     let mut world = World::new(Breakage::None);
     world.apply(Step::Limit(4));
-    pass_seconds(&mut world, 10);
-    cut_zone_off(&mut world);
+    advance_seconds(&mut world, 10);
+    isolate_zone(&mut world);
     world.apply(Step::Freeze(2, true));
     for turn in 0..8 {
         for (first, nodes) in [(0, 0..2), (3, 3..NODES)] {
             let authority = first + turn % 2;
-            nodes.for_each(|node| world.apply(Step::Believe(node, 1 << authority)));
+            nodes.for_each(|node| world.apply(Step::SetReachable(node, 1 << authority)));
         }
-        pass_seconds(&mut world, 4);
+        advance_seconds(&mut world, 4);
     }
-    assert_eq!(world.broken_window(), None);
+    assert_eq!(world.violated_window(), None);
 }
 
 /// What is set aside for all zones is the same for each tenant, and never more than the slack.
 #[test]
-fn the_zones_parts_add_up_to_the_slack() {
+fn zone_reserves_add_up_to_the_slack() {
     for count in 2..40 {
         for tenant in ["a", "b", "c", "tenant"] {
-            let places = (0..count).map(|index| ZonePlace { index, count });
-            let parts = places.map(|place| place.allowance(tenant, BOUND));
-            assert_eq!(parts.sum::<usize>(), 19);
+            let positions = (0..count).map(|index| ZonePosition { index, count });
+            let reserves = positions.map(|locality| locality.reserved_permits(tenant, BOUND));
+            assert_eq!(reserves.sum::<usize>(), 19);
         }
     }
 }
 
 /// The loss of a region takes one of the three nodes ranked for a seat at most.
 #[test]
-fn authorities_of_a_seat_stand_in_different_regions() {
+fn authorities_of_a_shard_are_in_different_regions() {
     let zones = [
         ("a1", "a"),
         ("a2", "a"),
@@ -314,47 +348,47 @@
         ("b2", "b"),
         ("c1", "c"),
     ];
-    let in_one_zone = |zone| place(zones[zone]);
-    let ranked = [0, 0, 1, 1, 0, 2, 3, 4].map(in_one_zone);
-    assert_eq!(choose_apart(&ranked, 3), [0, 5, 7]);
+    let locality_of = |zone| locality(zones[zone]);
+    let ranked = [0, 0, 1, 1, 0, 2, 3, 4].map(locality_of);
+    assert_eq!(select_diverse_nodes(&ranked, 3), [0, 5, 7]);
     // With two regions the third one stands in another zone.
-    let ranked = [0, 0, 1, 2, 2].map(in_one_zone);
-    assert_eq!(choose_apart(&ranked, 3), [0, 3, 2]);
+    let ranked = [0, 0, 1, 2, 2].map(locality_of);
+    assert_eq!(select_diverse_nodes(&ranked, 3), [0, 3, 2]);
     // Where all stand together the rank alone counts.
-    let ranked = [0, 0].map(in_one_zone);
-    assert_eq!(choose_apart(&ranked, 3), [0, 1]);
+    let ranked = [0, 0].map(locality_of);
+    assert_eq!(select_diverse_nodes(&ranked, 3), [0, 1]);
 }
 
-fn place((zone, region): (&'static str, &'static str)) -> NodePlace<'static> {
-    NodePlace {
+fn locality((zone, region): (&'static str, &'static str)) -> NodeLocality<'static> {
+    NodeLocality {
         zone,
         region: Some(region),
     }
 }
 
 #[test]
-fn a_zone_that_is_unknown_or_alone_has_no_part() {
+fn an_unknown_or_only_zone_has_no_position() {
     let zones = ["b", "a", "c"];
-    let place = ZonePlace::of("b", zones.into_iter());
-    assert_eq!(place, Some(ZonePlace { index: 1, count: 3 }));
-    assert_eq!(ZonePlace::of("d", zones.into_iter()), None);
-    assert_eq!(ZonePlace::of("a", ["a"].into_iter()), None);
+    let locality = ZonePosition::of("b", zones.into_iter());
+    assert_eq!(locality, Some(ZonePosition { index: 1, count: 3 }));
+    assert_eq!(ZonePosition::of("d", zones.into_iter()), None);
+    assert_eq!(ZonePosition::of("a", ["a"].into_iter()), None);
 }
 
 #[test]
-fn the_second_authority_takes_over_when_the_first_stands_still() {
+fn the_second_authority_takes_over_when_the_first_freezes() {
     let mut world = World::new(Breakage::None);
-    world.apply(Step::Pass(100));
+    world.apply(Step::Advance(100));
     world.apply(Step::Freeze(0, true));
     for node in 0..NODES {
-        world.apply(Step::Believe(node, 0b1_1110));
+        world.apply(Step::SetReachable(node, 0b1_1110));
     }
-    world.apply(Step::Pass(40));
+    world.apply(Step::Advance(40));
     let before = world.arrived();
-    world.apply(Step::Pass(100));
+    world.apply(Step::Advance(100));
     let served = (world.arrived() - before) as f64;
     assert!(served >= 40.0 * 5.0 * 0.95, "{served} operations in 5 s");
-    assert_eq!(world.broken_window(), None);
+    assert_eq!(world.violated_window(), None);
 }
 
 /// A budget gives the whole rate, and together with all that may be added the bound.
@@ -362,32 +396,38 @@
 fn a_budget_stays_within_the_bound() {
     for (per_second, burst) in [(216.0, 216.0), (8.0, 8.0), (60.0, 10.0), (1_000.0, 1_000.0)] {
         let rate = QuotaRate { per_second, burst };
-        let budget = Budget::of(rate, BOUND);
+        let budget = Budget::for_rate(rate, BOUND);
         assert!(budget.per_second >= per_second * 0.95);
         assert!(budget.capacity >= 1.0);
-        let early = LEAVE_LIFE + Duration::from_millis(200);
-        let used = per_second * (BOUND.window + early).as_secs_f64();
-        let most = used + budget.capacity + budget.set_aside;
-        assert!(most <= BOUND.most(rate) + 1e-6, "{per_second}: {most}");
+        let dispatch = PERMIT_TTL + Duration::from_millis(200);
+        let used = per_second * (BOUND.window + dispatch).as_secs_f64();
+        let max_operations = used + budget.capacity + budget.zone_reserve;
+        assert!(
+            max_operations <= BOUND.max_operations(rate) + 1e-6,
+            "{per_second}: {max_operations}"
+        );
     }
 }
 
 #[test]
-fn a_bucket_gives_its_rate_and_no_more_than_its_capacity() {
+fn a_token_bucket_grants_its_rate_and_no_more_than_its_capacity() {
     let rate = QuotaRate {
         per_second: 10.0,
         burst: 10.0,
     };
-    let budget = Budget::of(rate, BOUND);
+    let budget = Budget::for_rate(rate, BOUND);
     let start = Timestamp::from_millis(1_000);
-    let mut bucket = Bucket::begun_at(budget, start);
-    assert_eq!(bucket.give(5, start), 1);
-    assert_eq!(bucket.wait(start), Duration::from_millis(100));
+    let mut bucket = TokenBucket::started_at(budget, start);
+    assert_eq!(bucket.take_up_to(5, start), 1);
+    assert_eq!(
+        bucket.time_until_available(start),
+        Duration::from_millis(100)
+    );
     let later = start + Duration::from_millis(250);
-    assert_eq!(bucket.give(5, later), 2);
+    assert_eq!(bucket.take_up_to(5, later), 2);
     let long_after = later + Duration::from_secs(60);
     assert_eq!(
-        f64::from(bucket.give(1_000, long_after)),
+        f64::from(bucket.take_up_to(1_000, long_after)),
         budget.capacity.floor()
     );
 }
--- a/crates/spurpier-core/tests/quota_model/mod.rs
+++ b/crates/spurpier-core/tests/quota_model/mod.rs
@@ -4,8 +4,8 @@
 
 use proptest::prelude::*;
 use spurpier_core::quota::{
-    Authority, AuthorityChoice, Grant, Leave, Ledger, QuotaBound, QuotaRate, Stamp, Taken,
-    VOTE_LIFE, Want, ZONE_VOTE_LIFE, ZoneAuthority, ZonePlace,
+    AcquireOutcome, Authority, AuthoritySelector, AuthorityTimestamp, Grant, Permit, PermitCache,
+    PermitDemand, QuotaBound, QuotaRate, VOTE_TTL, ZONE_VOTE_TTL, ZoneAuthority, ZonePosition,
 };
 use spurpier_core::time::Timestamp;
 
@@ -14,13 +14,13 @@
 /// The nodes of each zone.
 pub const ZONES: [u8; 2] = [0b0_0111, 0b1_1000];
 /// How long a turn of the model takes.
-const TURN: Duration = Duration::from_millis(50);
+const TICK: Duration = Duration::from_millis(50);
 /// How often a node votes that asks for nothing.
 const VOTE_INTERVAL: Duration = Duration::from_millis(300);
 /// How often a node votes for the authority of its zone.
 const ZONE_VOTE_INTERVAL: Duration = Duration::from_millis(1_200);
 /// The most time between the start of an operation and its arrival at a server.
-const LONGEST_RUN: u64 = 200;
+const MAX_DISPATCH_DELAY_MS: u64 = 200;
 
 const TENANT: &str = "tenant";
 const NAMES: [&str; NODES] = ["n0", "n1", "n2", "n3", "n4"];
@@ -52,27 +52,27 @@
     /// An authority gives the whole rate whoever asks.
     NoMajority,
     /// A vote counts from when it arrives.
-    OldVotes,
+    StaleVotes,
     /// The authority of a zone gives the zone's part whoever asks.
     ZoneMajority,
     /// Each zone takes itself for the only one.
-    WholeSlack,
+    UndividedSlack,
 }
 
 impl Breakage {
     /// Those that random steps find.
-    pub const COMMON: [Breakage; 1] = [Breakage::NoMajority];
+    pub const FOUND_BY_RANDOM_STEPS: [Breakage; 1] = [Breakage::NoMajority];
 }
 
 /// What happens next.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
     /// So many turns pass.
-    Pass(u8),
+    Advance(u8),
     /// The nodes of a set and the others no longer reach each other; an empty set heals it.
-    Cut(u8),
+    Partition(u8),
     /// Which nodes a node takes to be reachable, whether they are or not.
-    Believe(usize, u8),
+    SetReachable(usize, u8),
     /// A node stands still, or goes on.
     Freeze(usize, bool),
     /// A node's process ends and starts again.
@@ -90,10 +90,10 @@
     let node = 0..NODES;
     let set = 0_u8..(1 << NODES);
     prop_oneof![
-        6 => (1_u8..30).prop_map(Step::Pass),
-        2 => set.clone().prop_map(Step::Cut),
-        1 => Just(Step::Cut(0)),
-        3 => (node.clone(), set).prop_map(|(node, set)| Step::Believe(node, set)),
+        6 => (1_u8..30).prop_map(Step::Advance),
+        2 => set.clone().prop_map(Step::Partition),
+        1 => Just(Step::Partition(0)),
+        3 => (node.clone(), set).prop_map(|(node, set)| Step::SetReachable(node, set)),
         2 => (node.clone(), any::<bool>()).prop_map(|(node, is)| Step::Freeze(node, is)),
         1 => node.prop_map(Step::Restart),
         2 => (0_u64..700).prop_map(Step::Delay),
@@ -112,63 +112,63 @@
 
 #[derive(Debug)]
 enum Message {
-    Question {
+    Request {
         waiting: u32,
         version: u64,
         rate: QuotaRate,
-        sent_after: Option<Stamp>,
+        sent_after: Option<AuthorityTimestamp>,
     },
-    Answer {
+    Response {
         grant: Grant,
         waiting: u32,
         has_majority: bool,
-        stamp: Stamp,
+        timestamp: AuthorityTimestamp,
     },
 }
 
 #[derive(Debug)]
-struct Mail {
+struct Envelope {
     from: usize,
     to: usize,
     arrives_at: Timestamp,
-    asked_at: Timestamp,
+    requested_at: Timestamp,
     /// The life of the process that asked.
-    life: u32,
+    incarnation: u32,
     scope: Scope,
     message: Message,
 }
 
 #[derive(Debug)]
 struct Node {
-    ledger: Ledger,
+    permit_cache: PermitCache,
     authority: Authority,
     zone_authority: ZoneAuthority,
-    choice: AuthorityChoice,
-    zone_choice: AuthorityChoice,
+    selector: AuthoritySelector,
+    zone_selector: AuthoritySelector,
     reachable: u8,
     is_frozen: bool,
-    life: u32,
+    incarnation: u32,
 }
 
 impl Node {
-    fn choice(&mut self, scope: Scope) -> &mut AuthorityChoice {
+    fn selector(&mut self, scope: Scope) -> &mut AuthoritySelector {
         match scope {
-            Scope::All => &mut self.choice,
-            Scope::Zone => &mut self.zone_choice,
+            Scope::All => &mut self.selector,
+            Scope::Zone => &mut self.zone_selector,
         }
     }
 
-    fn new(life: u32, place: ZonePlace) -> Self {
-        let life_of_process = u64::from(life);
+    fn new(incarnation: u32, position: ZonePosition) -> Self {
+        let process_incarnation = u64::from(incarnation);
         Node {
-            ledger: Ledger::default(),
-            authority: Authority::new(BOUND, life_of_process),
-            zone_authority: ZoneAuthority::new(BOUND, place, life_of_process),
-            choice: AuthorityChoice::new(VOTE_LIFE),
-            zone_choice: AuthorityChoice::new(ZONE_VOTE_LIFE),
+            permit_cache: PermitCache::default(),
+            authority: Authority::new(BOUND, process_incarnation),
+            zone_authority: ZoneAuthority::new(BOUND, position, process_incarnation),
+            selector: AuthoritySelector::new(VOTE_TTL),
+            zone_selector: AuthoritySelector::new(ZONE_VOTE_TTL),
             reachable: u8::MAX,
             is_frozen: false,
-            life,
+            incarnation,
         }
     }
 }
@@ -179,19 +179,19 @@
     breakage: Breakage,
     now: Timestamp,
     nodes: Vec<Node>,
-    mail: Vec<Mail>,
-    cut: u8,
+    in_flight: Vec<Envelope>,
+    partition: u8,
     delay: Duration,
     demand: u8,
     version: u64,
     rate: QuotaRate,
     /// The limits and since when they hold.
-    limits: Vec<(Timestamp, QuotaRate)>,
+    rate_history: Vec<(Timestamp, QuotaRate)>,
     arrivals: Vec<Timestamp>,
     /// How many operations each node has started.
     started: [usize; NODES],
     /// Tells apart the times that operations take.
-    turns: u64,
+    ticks: u64,
 }
 
 impl World {
@@ -201,44 +201,44 @@
             breakage,
             now: start,
             nodes: (0..NODES)
-                .map(|node| Node::new(0, place_of(node, breakage)))
+                .map(|node| Node::new(0, position_of(node, breakage)))
                 .collect(),
-            mail: Vec::new(),
-            cut: 0,
+            in_flight: Vec::new(),
+            partition: 0,
             delay: Duration::from_millis(20),
             demand: 4,
             version: 1,
             rate: RATES[1],
-            limits: vec![(start, RATES[1])],
+            rate_history: vec![(start, RATES[1])],
             arrivals: Vec::new(),
             started: [0; NODES],
-            turns: 0,
+            ticks: 0,
         }
     }
 
     pub fn apply(&mut self, step: Step) {
         match step {
-            Step::Pass(turns) => (0..turns).for_each(|_| self.turn()),
-            Step::Cut(set) => self.cut = set,
-            Step::Believe(node, set) => self.nodes[node].reachable = set,
+            Step::Advance(ticks) => (0..ticks).for_each(|_| self.tick()),
+            Step::Partition(set) => self.partition = set,
+            Step::SetReachable(node, set) => self.nodes[node].reachable = set,
             Step::Freeze(node, is_frozen) => self.nodes[node].is_frozen = is_frozen,
             Step::Restart(node) => {
-                let life = self.nodes[node].life + 1;
-                self.nodes[node] = Node::new(life, place_of(node, self.breakage));
+                let incarnation = self.nodes[node].incarnation + 1;
+                self.nodes[node] = Node::new(incarnation, position_of(node, self.breakage));
             }
             Step::Delay(millis) => self.delay = Duration::from_millis(millis),
             Step::Demand(demand) => self.demand = demand,
             Step::Limit(index) => {
                 self.version += 1;
                 self.rate = RATES[index];
-                self.limits.push((self.now, self.rate));
+                self.rate_history.push((self.now, self.rate));
             }
         }
     }
 
     /// The fewest and the most operations that any window held beside its bound; none if the bound
     /// was kept.
-    pub fn broken_window(&self) -> Option<(usize, f64)> {
+    pub fn violated_window(&self) -> Option<(usize, f64)> {
         let mut arrivals = self.arrivals.clone();
         arrivals.sort_unstable();
         let mut first = 0;
@@ -247,9 +247,9 @@
                 first += 1;
             }
             let count = last + 1 - first;
-            let most = self.most_until(*end);
-            if count as f64 > most {
-                return Some((count, most));
+            let max_operations = self.max_operations_until(*end);
+            if count as f64 > max_operations {
+                return Some((count, max_operations));
             }
         }
         None
@@ -268,183 +268,200 @@
     }
 
     /// What a window that ends at a moment may hold: a lower limit binds a window later.
-    fn most_until(&self, end: Timestamp) -> f64 {
+    fn max_operations_until(&self, end: Timestamp) -> f64 {
         let since = end.before(BOUND.window * 2);
-        let mut most: f64 = 0.0;
-        for (index, (_, rate)) in self.limits.iter().enumerate() {
-            let next = self.limits.get(index + 1);
+        let mut max_operations: f64 = 0.0;
+        for (index, (_, rate)) in self.rate_history.iter().enumerate() {
+            let next = self.rate_history.get(index + 1);
             if next.is_none_or(|(from, _)| *from >= since) {
-                most = most.max(BOUND.most(*rate));
+                max_operations = max_operations.max(BOUND.max_operations(*rate));
             }
         }
-        most
+        max_operations
     }
 
-    fn turn(&mut self) {
-        self.now = self.now + TURN;
-        self.turns += 1;
+    fn tick(&mut self) {
+        self.now = self.now + TICK;
+        self.ticks += 1;
         self.deliver();
         for node in 0..NODES {
             if !self.nodes[node].is_frozen {
-                self.ask_for_clients(node);
+                self.serve_clients(node);
             }
         }
     }
 
-    fn is_cut(&self, one: usize, other: usize) -> bool {
-        (self.cut >> one) & 1 != (self.cut >> other) & 1
+    fn is_partitioned(&self, one: usize, other: usize) -> bool {
+        (self.partition >> one) & 1 != (self.partition >> other) & 1
     }
 
     fn deliver(&mut self) {
-        let mail = std::mem::take(&mut self.mail);
-        for letter in mail {
-            if letter.arrives_at > self.now || self.nodes[letter.to].is_frozen {
-                self.mail.push(letter);
-            } else if !self.is_cut(letter.from, letter.to) {
-                self.take(letter);
+        let in_flight = std::mem::take(&mut self.in_flight);
+        for envelope in in_flight {
+            if envelope.arrives_at > self.now || self.nodes[envelope.to].is_frozen {
+                self.in_flight.push(envelope);
+            } else if !self.is_partitioned(envelope.from, envelope.to) {
+                self.receive(envelope);
             }
         }
     }
 
-    fn take(&mut self, letter: Mail) {
-        match letter.message {
-            Message::Question {
+    fn receive(&mut self, envelope: Envelope) {
+        match envelope.message {
+            Message::Request {
                 waiting,
                 version,
                 rate,
                 sent_after,
             } => {
-                let want = Want {
+                let permit_demand = PermitDemand {
                     waiting,
                     rate,
                     version,
                 };
-                let message = match letter.scope {
-                    Scope::All => self.answer_all(&letter, want, sent_after),
-                    Scope::Zone => self.answer_zone(&letter, want, sent_after),
+                let message = match envelope.scope {
+                    Scope::All => self.respond_as_authority(&envelope, permit_demand, sent_after),
+                    Scope::Zone => {
+                        self.respond_as_zone_authority(&envelope, permit_demand, sent_after)
+                    }
                 };
-                self.mail.push(Mail {
-                    from: letter.to,
-                    to: letter.from,
+                self.in_flight.push(Envelope {
+                    from: envelope.to,
+                    to: envelope.from,
                     arrives_at: self.now + self.delay,
                     message,
-                    ..letter
+                    ..envelope
                 });
             }
-            Message::Answer {
+            Message::Response {
                 grant,
                 waiting,
                 has_majority,
-                stamp,
+                timestamp,
             } => {
                 let now = self.now;
-                let node = &mut self.nodes[letter.to];
-                if node.life != letter.life {
+                let node = &mut self.nodes[envelope.to];
+                if node.incarnation != envelope.incarnation {
                     return;
                 }
-                let name = NAMES[letter.from];
-                let choice = node.choice(letter.scope);
-                choice.note_answer(name, has_majority, stamp, now);
-                let leaves = node
-                    .ledger
-                    .note_grant(TENANT, grant, waiting, letter.asked_at, now);
-                leaves
+                let name = NAMES[envelope.from];
+                let selector = node.selector(envelope.scope);
+                selector.record_response(name, has_majority, timestamp, now);
+                let permits = node.permit_cache.record_grant(
+                    TENANT,
+                    grant,
+                    waiting,
+                    envelope.requested_at,
+                    now,
+                );
+                permits
                     .into_iter()
-                    .for_each(|leave| self.start(letter.to, leave));
-                if letter.scope == Scope::All && !has_majority {
-                    self.ask(letter.to, Scope::Zone, waiting);
+                    .for_each(|permit| self.start(envelope.to, permit));
+                if envelope.scope == Scope::All && !has_majority {
+                    self.send_request(envelope.to, Scope::Zone, waiting);
                 }
             }
         }
     }
 
-    fn answer_all(&mut self, letter: &Mail, want: Want, sent_after: Option<Stamp>) -> Message {
+    fn respond_as_authority(
+        &mut self,
+        envelope: &Envelope,
+        permit_demand: PermitDemand,
+        sent_after: Option<AuthorityTimestamp>,
+    ) -> Message {
         let nodes = match self.breakage {
             Breakage::NoMajority => 1,
             _ => NODES,
         };
-        let authority = &mut self.nodes[letter.to].authority;
-        let stamp = authority.stamp(self.now);
+        let authority = &mut self.nodes[envelope.to].authority;
+        let timestamp = authority.timestamp(self.now);
         let sent_after = match self.breakage {
-            Breakage::OldVotes => Some(stamp),
+            Breakage::StaleVotes => Some(timestamp),
             _ => sent_after,
         };
-        authority.note_vote(NAMES[letter.from], sent_after, nodes, self.now);
-        Message::Answer {
-            grant: authority.grant(TENANT, want, 0.5, self.now),
-            waiting: want.waiting,
+        authority.record_vote(NAMES[envelope.from], sent_after, nodes, self.now);
+        Message::Response {
+            grant: authority.grant(TENANT, permit_demand, 0.5, self.now),
+            waiting: permit_demand.waiting,
             has_majority: authority.has_majority(),
-            stamp,
+            timestamp,
         }
     }
 
-    fn answer_zone(&mut self, letter: &Mail, want: Want, sent_after: Option<Stamp>) -> Message {
+    fn respond_as_zone_authority(
+        &mut self,
+        envelope: &Envelope,
+        permit_demand: PermitDemand,
+        sent_after: Option<AuthorityTimestamp>,
+    ) -> Message {
         let nodes = match self.breakage {
             Breakage::ZoneMajority => 1,
-            _ => zone_of(letter.to).count_ones() as usize,
+            _ => zone_of(envelope.to).count_ones() as usize,
         };
-        let authority = &mut self.nodes[letter.to].zone_authority;
-        let stamp = authority.stamp(self.now);
-        authority.note_vote(NAMES[letter.from], sent_after, nodes, self.now);
-        Message::Answer {
-            grant: authority.grant(TENANT, want.waiting, 0.5, self.now),
-            waiting: want.waiting,
+        let authority = &mut self.nodes[envelope.to].zone_authority;
+        let timestamp = authority.timestamp(self.now);
+        authority.record_vote(NAMES[envelope.from], sent_after, nodes, self.now);
+        Message::Response {
+            grant: authority.grant(TENANT, permit_demand.waiting, 0.5, self.now),
+            waiting: permit_demand.waiting,
             has_majority: authority.has_majority(),
-            stamp,
+            timestamp,
         }
     }
 
-    fn start(&mut self, node: usize, leave: Leave) {
-        assert!(leave.ends_at > self.now);
+    fn start(&mut self, node: usize, permit: Permit) {
+        assert!(permit.expires_at > self.now);
         self.started[node] += 1;
-        let takes = (self.turns * 67 + self.arrivals.len() as u64 * 31) % LONGEST_RUN;
-        let arrives_at = self.now + Duration::from_millis(takes);
+        let dispatch_delay =
+            (self.ticks * 67 + self.arrivals.len() as u64 * 31) % MAX_DISPATCH_DELAY_MS;
+        let arrives_at = self.now + Duration::from_millis(dispatch_delay);
         self.arrivals.push(arrives_at);
     }
 
-    fn ask_for_clients(&mut self, node: usize) {
+    fn serve_clients(&mut self, node: usize) {
         let mut waiting = 0;
         for _ in 0..self.demand {
-            match self.nodes[node].ledger.take(TENANT, self.now) {
-                Taken::Leave(leave) => self.start(node, leave),
-                Taken::Limited(_) => {}
-                Taken::Ask => waiting += 1,
+            match self.nodes[node].permit_cache.acquire(TENANT, self.now) {
+                AcquireOutcome::Permit(permit) => self.start(node, permit),
+                AcquireOutcome::Limited(_) => {}
+                AcquireOutcome::AskAuthority => waiting += 1,
             }
         }
         if waiting > 0 || self.is_vote_due(node, Scope::All, VOTE_INTERVAL) {
-            let is_asked = self.ask(node, Scope::All, waiting);
-            if !is_asked && waiting > 0 {
-                self.ask(node, Scope::Zone, waiting);
+            let is_sent = self.send_request(node, Scope::All, waiting);
+            if !is_sent && waiting > 0 {
+                self.send_request(node, Scope::Zone, waiting);
             }
         }
         if self.is_vote_due(node, Scope::Zone, ZONE_VOTE_INTERVAL) {
-            self.ask(node, Scope::Zone, 0);
+            self.send_request(node, Scope::Zone, 0);
         }
     }
 
     fn is_vote_due(&mut self, node: usize, scope: Scope, interval: Duration) -> bool {
         let now = self.now;
-        let asked_for = self.nodes[node].choice(scope).asked_for(now);
-        asked_for.is_none_or(|time| time >= interval)
+        let time_since_request = self.nodes[node].selector(scope).time_since_request(now);
+        time_since_request.is_none_or(|time| time >= interval)
     }
 
     /// Asks an authority; tells whether there is one to ask.
-    fn ask(&mut self, node: usize, scope: Scope, waiting: u32) -> bool {
-        let Some(authority) = self.choose(node, scope) else {
+    fn send_request(&mut self, node: usize, scope: Scope, waiting: u32) -> bool {
+        let Some(authority) = self.select_authority(node, scope) else {
             return false;
         };
         let now = self.now;
-        let choice = self.nodes[node].choice(scope);
-        choice.note_asked(now);
-        let sent_after = choice.sent_after(now);
-        self.mail.push(Mail {
+        let selector = self.nodes[node].selector(scope);
+        selector.record_request(now);
+        let sent_after = selector.authority_time(now);
+        self.in_flight.push(Envelope {
             from: node,
             to: authority,
             arrives_at: now + self.delay,
-            asked_at: now,
-            life: self.nodes[node].life,
+            requested_at: now,
+            incarnation: self.nodes[node].incarnation,
             scope,
-            message: Message::Question {
+            message: Message::Request {
                 waiting,
                 version: self.version,
                 rate: self.rate,
@@ -454,20 +471,20 @@
         true
     }
 
-    fn choose(&mut self, node: usize, scope: Scope) -> Option<usize> {
+    fn select_authority(&mut self, node: usize, scope: Scope) -> Option<usize> {
         let now = self.now;
         let ranked = match scope {
             Scope::All => u8::MAX,
             Scope::Zone => zone_of(node),
         };
-        let reached = self.nodes[node].reachable & ranked;
+        let reachable_set = self.nodes[node].reachable & ranked;
         let reachable: Vec<&str> = (0..NODES)
-            .filter(|other| (reached >> other) & 1 == 1)
+            .filter(|other| (reachable_set >> other) & 1 == 1)
             .map(|other| NAMES[other])
             .collect();
-        let choice = self.nodes[node].choice(scope);
-        let chosen = choice.choose(&reachable, now)?;
-        NAMES.iter().position(|name| *name == chosen)
+        let selector = self.nodes[node].selector(scope);
+        let selected = selector.select(&reachable, now)?;
+        NAMES.iter().position(|name| *name == selected)
     }
 }
 
@@ -477,13 +494,13 @@
     *zone.expect("each node has a zone")
 }
 
-fn place_of(node: usize, breakage: Breakage) -> ZonePlace {
+fn position_of(node: usize, breakage: Breakage) -> ZonePosition {
     let index = ZONES.iter().position(|zone| *zone == zone_of(node));
     let count = match breakage {
-        Breakage::WholeSlack => 1,
+        Breakage::UndividedSlack => 1,
         _ => ZONES.len(),
     };
-    ZonePlace {
+    ZonePosition {
         index: index.expect("each node has a zone"),
         count,
     }
--- a/crates/spurpier-pipeline/src/homes/chosen.rs
+++ b/crates/spurpier-pipeline/src/homes/chosen.rs
@@ -7,7 +7,7 @@
 use spurpier_core::homes::{rendezvous_score, subject_digest};
 use spurpier_core::lead::{Distance, RankedNode, rank_homes};
 use spurpier_core::membership::NodeKey;
-use spurpier_core::quota::{NodePlace, choose_apart};
+use spurpier_core::quota::{NodeLocality, select_diverse_nodes};
 
 use crate::node_entry::NodeEntry;
 use crate::settings::PipelineSettings;
@@ -176,17 +176,17 @@
     ) -> Vec<PeerNode> {
         let members: Vec<_> = nodes.iter().map(|(name, node)| (*name, *node)).collect();
         let order = rank_wide_first(&members, subject);
-        let places: Vec<NodePlace<'_>> = order
+        let places: Vec<NodeLocality<'_>> = order
             .iter()
             .map(|index| self.place_of(members[*index].1))
             .collect();
-        let chosen = choose_apart(&places, count).into_iter();
+        let chosen = select_diverse_nodes(&places, count).into_iter();
         let chosen = chosen.map(|rank| members[order[rank]]);
         chosen.map(|(name, node)| peer_node(name, node)).collect()
     }
 
-    fn place_of<'a>(&'a self, node: &'a NodeEntry) -> NodePlace<'a> {
-        NodePlace {
+    fn place_of<'a>(&'a self, node: &'a NodeEntry) -> NodeLocality<'a> {
+        NodeLocality {
             zone: &node.zone,
             region: self.regions.get(&node.zone).map(String::as_str),
         }
--- a/crates/spurpier-pipeline/src/places/cold.rs
+++ b/crates/spurpier-pipeline/src/places/cold.rs
@@ -310,7 +310,7 @@
             let leaves = &self.shared.leaves;
             let taken = leaves.take(clock, &self.subject, quota, until).await;
             let pause = match taken {
-                Ok(leave) if leave.ends_at > clock.now() => return Ok(()),
+                Ok(leave) if leave.expires_at > clock.now() => return Ok(()),
                 // The process stood still in between.
                 Ok(_) => continue,
                 Err(Refused::OverQuota(pause) | Refused::NoAuthority(pause)) => pause,
--- a/crates/spurpier-pipeline/src/quota/asker.rs
+++ b/crates/spurpier-pipeline/src/quota/asker.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use spurpier_core::quota::{AuthorityChoice, LEAVE_LIFE, VOTE_LIFE, ZONE_VOTE_LIFE};
+use spurpier_core::quota::{AuthoritySelector, PERMIT_TTL, VOTE_TTL, ZONE_VOTE_TTL};
 use tokio::time::sleep;
 
 use super::waiting::{Granted, Wants};
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 pub struct Asker {
     scope: Scope,
-    choice: Mutex<AuthorityChoice>,
+    choice: Mutex<AuthoritySelector>,
 }
 
 /// How a question ended.
@@ -38,12 +38,12 @@
     /// One that has asked nobody.
     pub fn new(scope: Scope) -> Self {
         let vote_life = match scope {
-            Scope::Seat(_) => VOTE_LIFE,
-            Scope::Zone => ZONE_VOTE_LIFE,
+            Scope::Seat(_) => VOTE_TTL,
+            Scope::Zone => ZONE_VOTE_TTL,
         };
         Asker {
             scope,
-            choice: Mutex::new(AuthorityChoice::new(vote_life)),
+            choice: Mutex::new(AuthoritySelector::new(vote_life)),
         }
     }
 
@@ -60,20 +60,20 @@
 
     /// Whether there is anything to count and the authority was not asked for so long.
     pub fn is_vote_due(&self, context: &Context, interval: Duration) -> bool {
-        let asked_for = self.choice().asked_for(context.clock.now());
+        let asked_for = self.choice().time_since_request(context.clock.now());
         Quotas::is_used(context, self.scope) && asked_for.is_none_or(|time| time >= interval)
     }
 
     /// Asks the authority; none if no answer comes.
     pub async fn ask(&self, context: &Context, wants: &Wants) -> Option<Granted> {
-        let limit = context.clock.instant(context.clock.now() + LEAVE_LIFE);
+        let limit = context.clock.instant(context.clock.now() + PERMIT_TTL);
         context.homes.await_list(limit).await;
         let ranked = context.homes.authorities(self.scope);
         // An authority that is about to end says so, and the next one is asked at once.
         for _ in 0..ranked.len() + VOTE_TRIES {
             let authority = self.choose(context, &ranked)?;
             let asked_at = context.clock.now();
-            let has_voted = self.choice().sent_after(asked_at).is_some();
+            let has_voted = self.choice().authority_time(asked_at).is_some();
             match self.ask_one(context, &authority, wants).await {
                 Asked::Answered(answer) => {
                     self.note_answer(context, &authority, &answer);
@@ -86,7 +86,7 @@
                     }
                     // The next question is a vote, and may be the one that is missing.
                 }
-                Asked::Left => self.choice().note_left(&authority.name),
+                Asked::Left => self.choice().record_departure(&authority.name),
                 Asked::Lost => return None,
             }
         }
@@ -96,7 +96,7 @@
     fn note_answer(&self, context: &Context, authority: &PeerNode, answer: &LeaveAnswer) {
         let now = context.clock.now();
         let mut choice = self.choice();
-        choice.note_answer(&authority.name, answer.has_majority, answer.stamp(), now);
+        choice.record_response(&authority.name, answer.has_majority, answer.stamp(), now);
     }
 
     fn choose(&self, context: &Context, ranked: &[PeerNode]) -> Option<PeerNode> {
@@ -113,15 +113,15 @@
         let names: Vec<&str> = reachable.iter().map(|node| node.name.as_str()).collect();
         let now = context.clock.now();
         let mut choice = self.choice();
-        let chosen = choice.choose(&names, now)?.to_owned();
-        choice.note_asked(now);
+        let chosen = choice.select(&names, now)?.to_owned();
+        choice.record_request(now);
         let chosen = reachable.into_iter().find(|node| node.name == chosen);
         chosen.cloned()
     }
 
     async fn ask_one(&self, context: &Context, authority: &PeerNode, wants: &Wants) -> Asked {
         let own = &context.settings.node.name;
-        let sent_after = self.choice().sent_after(context.clock.now());
+        let sent_after = self.choice().authority_time(context.clock.now());
         let wants = wants.iter().map(|(tenant, want)| (&**tenant, *want));
         let question = LeaveQuestion::new(self.scope, own, sent_after, wants);
         context.metrics.count_leave_question();
@@ -131,7 +131,7 @@
                 None => Asked::Left,
             };
         }
-        let until = context.clock.now() + LEAVE_LIFE;
+        let until = context.clock.now() + PERMIT_TTL;
         let links = &context.links;
         let Some(link) = links.link(authority.address, &context.clock, until).await else {
             return Asked::Lost;
@@ -144,7 +144,7 @@
         }
     }
 
-    fn choice(&self) -> MutexGuard<'_, AuthorityChoice> {
+    fn choice(&self) -> MutexGuard<'_, AuthoritySelector> {
         self.choice.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/spurpier-pipeline/src/quota/messages.rs
+++ b/crates/spurpier-pipeline/src/quota/messages.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use nanoserde::{DeBin, SerBin};
-use spurpier_core::quota::{Grant, QuotaRate, Stamp, Want};
+use spurpier_core::quota::{AuthorityTimestamp, Grant, PermitDemand, QuotaRate};
 use spurpier_core::time::Timestamp;
 use spurpier_core::wire::List;
 
@@ -21,26 +21,26 @@
     wants: List<CalledWant>,
 }
 
-/// [`Stamp`] as a message carries it.
+/// [`AuthorityTimestamp`] as a message carries it.
 #[derive(Debug, Clone, Copy, PartialEq, SerBin, DeBin)]
 struct CalledStamp {
     life: u64,
     at_micros: u64,
 }
 
-impl From<Stamp> for CalledStamp {
-    fn from(stamp: Stamp) -> Self {
+impl From<AuthorityTimestamp> for CalledStamp {
+    fn from(stamp: AuthorityTimestamp) -> Self {
         CalledStamp {
-            life: stamp.life,
+            life: stamp.incarnation,
             at_micros: stamp.at.as_micros(),
         }
     }
 }
 
-impl From<CalledStamp> for Stamp {
+impl From<CalledStamp> for AuthorityTimestamp {
     fn from(stamp: CalledStamp) -> Self {
-        Stamp {
-            life: stamp.life,
+        AuthorityTimestamp {
+            incarnation: stamp.life,
             at: Timestamp::from_micros(stamp.at_micros),
         }
     }
@@ -60,8 +60,8 @@
     pub fn new<'a>(
         scope: Scope,
         voter: &str,
-        sent_after: Option<Stamp>,
-        wants: impl Iterator<Item = (&'a str, Want)>,
+        sent_after: Option<AuthorityTimestamp>,
+        wants: impl Iterator<Item = (&'a str, PermitDemand)>,
     ) -> Self {
         let wants = wants.map(|(tenant, want)| CalledWant {
             tenant: tenant.to_owned(),
@@ -79,18 +79,18 @@
     }
 
     /// A moment of the authority's clock after which it was sent.
-    pub fn sent_after(&self) -> Option<Stamp> {
-        self.sent_after.map(Stamp::from)
+    pub fn sent_after(&self) -> Option<AuthorityTimestamp> {
+        self.sent_after.map(AuthorityTimestamp::from)
     }
 
     /// What is asked for each tenant.
-    pub fn into_wants(self) -> impl Iterator<Item = (String, Want)> {
+    pub fn into_wants(self) -> impl Iterator<Item = (String, PermitDemand)> {
         self.wants.0.into_iter().map(|want| {
             let rate = QuotaRate {
                 per_second: want.per_second,
                 burst: want.burst,
             };
-            let wanted = Want {
+            let wanted = PermitDemand {
                 waiting: want.waiting,
                 rate,
                 version: want.version,
@@ -117,10 +117,10 @@
 
 impl LeaveAnswer {
     /// An answer with these grants.
-    pub fn new(has_majority: bool, stamp: Stamp, grants: &[Grant]) -> Self {
+    pub fn new(has_majority: bool, stamp: AuthorityTimestamp, grants: &[Grant]) -> Self {
         let grants = grants.iter().map(|grant| CalledGrant {
-            leaves: grant.leaves,
-            pause_ms: millis(grant.pause),
+            leaves: grant.permits,
+            pause_ms: millis(grant.retry_after),
         });
         LeaveAnswer {
             has_majority,
@@ -130,17 +130,17 @@
     }
 
     /// The moment of the authority's clock at which it answered.
-    pub fn stamp(&self) -> Stamp {
-        Stamp::from(self.stamp)
+    pub fn stamp(&self) -> AuthorityTimestamp {
+        AuthorityTimestamp::from(self.stamp)
     }
 
     /// The grants.
     pub fn grants(&self) -> impl Iterator<Item = Grant> {
         self.grants.0.iter().map(|grant| {
-            let pause: Duration = duration(grant.pause_ms);
+            let retry_after: Duration = duration(grant.pause_ms);
             Grant {
-                leaves: grant.leaves,
-                pause,
+                permits: grant.leaves,
+                retry_after,
             }
         })
     }
--- a/crates/spurpier-pipeline/src/quota/mod.rs
+++ b/crates/spurpier-pipeline/src/quota/mod.rs
@@ -1,4 +1,4 @@
-//! Leave to start operations of tenants whose rate is bounded.
+//! Permits to start operations of tenants whose rate is bounded.
 //!
 //! The decisions are [`spurpier_core::quota`]'s. Tenants are spread over a few seats; for each seat
 //! every node ranks the same nodes, and asks the first one that it reaches. Where none of them
@@ -19,7 +19,8 @@
 use spurpier_core::homes::subject_digest;
 use spurpier_core::places::ColdBound;
 use spurpier_core::quota::{
-    Authority, Grant, Leave, Ledger, QuotaBound, QuotaRate, Taken, Want, ZoneAuthority, ZonePlace,
+    AcquireOutcome, Authority, Grant, Permit, PermitCache, PermitDemand, QuotaBound, QuotaRate,
+    ZoneAuthority, ZonePosition,
 };
 use spurpier_core::time::Timestamp;
 use tokio::sync::oneshot;
@@ -81,7 +82,7 @@
 /// what is sent to cold servers, which stand in the place of tenants then.
 #[derive(Debug)]
 pub struct Quotas {
-    ledger: Mutex<Ledger>,
+    ledger: Mutex<PermitCache>,
     seats: Vec<Arc<Seat>>,
     authorities: Mutex<HashMap<u8, Authority>>,
     /// The zone's own part, which is used while most nodes cannot be asked.
@@ -109,7 +110,7 @@
         };
         let mut quotas = Self::of_seats(0..SEATS, bound);
         let zones = settings.zones.keys().map(String::as_str);
-        let place = ZonePlace::of(&settings.node.zone, zones);
+        let place = ZonePosition::of(&settings.node.zone, zones);
         quotas.zone = place.map(|place| ZonePart {
             asker: Arc::new(Asker::new(Scope::Zone)),
             authority: Mutex::new(ZoneAuthority::new(bound, place, quotas.life)),
@@ -168,19 +169,19 @@
         subject: &Arc<str>,
         quota: TenantQuota,
         until: Timestamp,
-    ) -> Result<Leave, Refused> {
-        let taken = self.ledger().take(subject, clock.now());
+    ) -> Result<Permit, Refused> {
+        let taken = self.ledger().acquire(subject, clock.now());
         match taken {
-            Taken::Leave(leave) => Ok(leave),
-            Taken::Limited(pause) => Err(Refused::OverQuota(pause)),
-            Taken::Ask => {
+            AcquireOutcome::Permit(leave) => Ok(leave),
+            AcquireOutcome::Limited(pause) => Err(Refused::OverQuota(pause)),
+            AcquireOutcome::AskAuthority => {
                 let asked = self.seat(subject).ask(subject, quota);
                 await_leave(clock, asked, until).await
             }
         }
     }
 
-    fn ledger(&self) -> MutexGuard<'_, Ledger> {
+    fn ledger(&self) -> MutexGuard<'_, PermitCache> {
         self.ledger.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -210,14 +211,14 @@
         let authority = authorities
             .entry(seat)
             .or_insert_with(|| Authority::new(self.bound, self.life));
-        authority.note_vote(&question.voter, question.sent_after(), nodes, now);
-        let mut grant = |tenant: &str, want: Want| {
+        authority.record_vote(&question.voter, question.sent_after(), nodes, now);
+        let mut grant = |tenant: &str, want: PermitDemand| {
             let spread = rand::rng().random();
             authority.grant(tenant, want, spread, now)
         };
         let wants = question.into_wants();
         let grants: Vec<Grant> = wants.map(|(tenant, want)| grant(&tenant, want)).collect();
-        LeaveAnswer::new(authority.has_majority(), authority.stamp(now), &grants)
+        LeaveAnswer::new(authority.has_majority(), authority.timestamp(now), &grants)
     }
 
     fn answer_zone(
@@ -228,14 +229,14 @@
     ) -> Option<LeaveAnswer> {
         let authority = self.zone.as_ref()?.authority.lock();
         let mut authority = authority.unwrap_or_else(PoisonError::into_inner);
-        authority.note_vote(&question.voter, question.sent_after(), nodes, now);
-        let mut grant = |tenant: &str, want: Want| {
+        authority.record_vote(&question.voter, question.sent_after(), nodes, now);
+        let mut grant = |tenant: &str, want: PermitDemand| {
             let spread = rand::rng().random();
             authority.grant(tenant, want.waiting, spread, now)
         };
         let wants = question.into_wants();
         let grants: Vec<Grant> = wants.map(|(tenant, want)| grant(&tenant, want)).collect();
-        let answer = LeaveAnswer::new(authority.has_majority(), authority.stamp(now), &grants);
+        let answer = LeaveAnswer::new(authority.has_majority(), authority.timestamp(now), &grants);
         Some(answer)
     }
 }
@@ -244,7 +245,7 @@
 #[derive(Debug)]
 pub struct OperationLeave {
     tenant: Arc<str>,
-    leave: Leave,
+    leave: Permit,
 }
 
 /// Takes a leave for an operation of a tenant, at most until `until`.
@@ -266,9 +267,9 @@
 
 async fn await_leave(
     clock: &Clock,
-    asked: oneshot::Receiver<Result<Leave, Refused>>,
+    asked: oneshot::Receiver<Result<Permit, Refused>>,
     until: Timestamp,
-) -> Result<Leave, Refused> {
+) -> Result<Permit, Refused> {
     let unreached = Refused::NoAuthority(UNREACHED_PAUSE);
     let limit = clock.instant(until);
     let answered = tokio::time::timeout_at(limit, asked).await;
@@ -279,7 +280,7 @@
 pub fn put_back(context: &Context, leave: OperationLeave) {
     let now = context.clock.now();
     let mut ledger = context.quotas.ledger();
-    ledger.put_back(&leave.tenant, leave.leave, now);
+    ledger.return_unused(&leave.tenant, leave.leave, now);
 }
 
 /// Answers another node's question; none if this node is about to end, so that votes for it are
--- a/crates/spurpier-pipeline/src/quota/seat.rs
+++ b/crates/spurpier-pipeline/src/quota/seat.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use spurpier_core::quota::Leave;
+use spurpier_core::quota::Permit;
 use tokio::sync::{Notify, oneshot};
 use tokio::time::{sleep, timeout};
 
@@ -53,7 +53,7 @@
         &self,
         tenant: &Arc<str>,
         quota: TenantQuota,
-    ) -> oneshot::Receiver<Result<Leave, Refused>> {
+    ) -> oneshot::Receiver<Result<Permit, Refused>> {
         let receiver = self.waiting().add(tenant, quota);
         self.wanted.notify_one();
         receiver
--- a/crates/spurpier-pipeline/src/quota/waiting.rs
+++ b/crates/spurpier-pipeline/src/quota/waiting.rs
@@ -4,20 +4,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use spurpier_core::quota::{Grant, Leave, Want};
+use spurpier_core::quota::{Grant, Permit, PermitDemand};
 use spurpier_core::time::Timestamp;
 use tokio::sync::oneshot;
 
 use super::{LeaveAnswer, Quotas, Refused, Scope, TenantQuota};
 
 /// What is asked for each tenant.
-pub type Wants = Vec<(Arc<str>, Want)>;
+pub type Wants = Vec<(Arc<str>, PermitDemand)>;
 
 /// Who waits for leaves of one tenant.
 #[derive(Debug)]
 struct Waiters {
     quota: TenantQuota,
-    senders: Vec<oneshot::Sender<Result<Leave, Refused>>>,
+    senders: Vec<oneshot::Sender<Result<Permit, Refused>>>,
     /// What those are told that get no leave.
     refused: Option<Refused>,
 }
@@ -45,7 +45,7 @@
         &mut self,
         tenant: &Arc<str>,
         quota: TenantQuota,
-    ) -> oneshot::Receiver<Result<Leave, Refused>> {
+    ) -> oneshot::Receiver<Result<Permit, Refused>> {
         let (sender, receiver) = oneshot::channel();
         let tenant = Arc::clone(tenant);
         let waiters = self.tenants.entry(tenant).or_insert_with(|| Waiters {
@@ -66,7 +66,7 @@
         });
         let tenants = self.tenants.iter();
         let wants = tenants.map(|(tenant, waiters)| {
-            let want = Want {
+            let want = PermitDemand {
                 waiting: u32::try_from(waiters.senders.len()).unwrap_or(u32::MAX),
                 rate: waiters.quota.rate(),
                 version: waiters.quota.version,
@@ -87,21 +87,24 @@
     ) {
         for ((tenant, want), grant) in wants.iter().zip(granted.answer.grants()) {
             let (noted, refused) = match granted.scope {
-                Scope::Seat(_) => (grant, Refused::OverQuota(grant.pause)),
+                Scope::Seat(_) => (grant, Refused::OverQuota(grant.retry_after)),
                 // A zone's part that is used up tells nothing of the tenant's limit, for which the
                 // authority of all is asked again with the next operation.
-                Scope::Zone => (without_pause(grant), Refused::NoAuthority(grant.pause)),
+                Scope::Zone => (
+                    without_pause(grant),
+                    Refused::NoAuthority(grant.retry_after),
+                ),
             };
             let mut ledger = quotas.ledger();
-            let leaves = ledger.note_grant(tenant, noted, want.waiting, granted.asked_at, now);
+            let leaves = ledger.record_grant(tenant, noted, want.waiting, granted.asked_at, now);
             for leave in self.hand_out(tenant, leaves, refused) {
-                ledger.put_back(tenant, leave, now);
+                ledger.return_unused(tenant, leave, now);
             }
         }
     }
 
     /// Gives those that wait for a tenant their leaves; returns the leaves that nobody takes.
-    fn hand_out(&mut self, tenant: &str, leaves: Vec<Leave>, refused: Refused) -> Vec<Leave> {
+    fn hand_out(&mut self, tenant: &str, leaves: Vec<Permit>, refused: Refused) -> Vec<Permit> {
         let Some(waiters) = self.tenants.get_mut(tenant) else {
             return leaves;
         };
@@ -132,7 +135,7 @@
 
 fn without_pause(grant: Grant) -> Grant {
     Grant {
-        pause: Duration::ZERO,
+        retry_after: Duration::ZERO,
         ..grant
     }
 }
