--- a/crates/spurpier-core/tests/cold_model/mod.rs
+++ b/crates/spurpier-core/tests/cold_model/mod.rs
@@ -6,8 +6,8 @@
 use proptest::prelude::*;
 use spurpier_core::locality::{COLD_WINDOW, ColdBound, ColdState, is_entry_outdated};
 use spurpier_core::quota::{
-    Authority, AuthorityChoice, Bucket, Budget, Grant, Ledger, QuotaRate, Stamp, Taken, VOTE_LIFE,
-    Want,
+    AcquireOutcome, Authority, AuthoritySelector, AuthorityTimestamp, Budget, Grant, PermitCache,
+    PermitDemand, QuotaRate, TokenBucket, VOTE_TTL,
 };
 use spurpier_core::store_version::StoreVersion;
 use spurpier_core::time::Timestamp;
@@ -106,13 +106,13 @@
 enum Message {
     PermitRequest {
         waiting: u32,
-        sent_after: Option<Stamp>,
+        sent_after: Option<AuthorityTimestamp>,
     },
     PermitReply {
         grant: Grant,
         waiting: u32,
         has_majority: bool,
-        stamp: Stamp,
+        stamp: AuthorityTimestamp,
     },
     /// A request that another node forwards to the node that sends.
     Forwarded { asked_at: Timestamp },
@@ -131,10 +131,10 @@
 
 #[derive(Debug)]
 struct Node {
-    ledger: Ledger,
+    ledger: PermitCache,
     authority: Authority,
-    choice: AuthorityChoice,
-    bucket: Bucket,
+    choice: AuthoritySelector,
+    bucket: TokenBucket,
     reachable: u8,
     /// Number of nodes on its list that are not in the model.
     extra_listed: usize,
@@ -324,14 +324,15 @@
                     return;
                 }
                 let name = NAMES[envelope.from];
-                node.choice.note_answer(name, has_majority, stamp, self.now);
+                node.choice
+                    .record_response(name, has_majority, stamp, self.now);
                 let asked_at = match self.breakage {
                     Breakage::NonExpiringPermits => self.now,
                     _ => envelope.asked_at,
                 };
                 let leaves = node
                     .ledger
-                    .note_grant(SERVER, grant, waiting, asked_at, self.now);
+                    .record_grant(SERVER, grant, waiting, asked_at, self.now);
                 for _ in leaves {
                     self.sent.push((self.now, envelope.asked_at));
                 }
@@ -340,8 +341,8 @@
         }
     }
 
-    fn reply(&mut self, envelope: Envelope, waiting: u32, sent_after: Option<Stamp>) {
-        let want = Want {
+    fn reply(&mut self, envelope: Envelope, waiting: u32, sent_after: Option<AuthorityTimestamp>) {
+        let want = PermitDemand {
             waiting,
             rate: self.rate(),
             version: 1,
@@ -352,8 +353,8 @@
             _ => NODES + node.extra_listed,
         };
         let authority = &mut node.authority;
-        let stamp = authority.stamp(self.now);
-        authority.note_vote(NAMES[envelope.from], sent_after, listed, self.now);
+        let stamp = authority.timestamp(self.now);
+        authority.record_vote(NAMES[envelope.from], sent_after, listed, self.now);
         let grant = authority.grant(SERVER, want, 0.5, self.now);
         let message = Message::PermitReply {
             grant,
@@ -419,11 +420,11 @@
             // Without messages, only the accumulated permits are deducted from the rate.
             per_second: (per_second - 1.0).max(per_second / 2.0),
             capacity: 1.0,
-            set_aside: 0.0,
+            zone_reserve: 0.0,
             window: COLD_WINDOW,
         };
         node.bucket.set_budget(budget, now);
-        if node.bucket.give(1, now) == 1 {
+        if node.bucket.take_up_to(1, now) == 1 {
             self.sent.push((now, asked_at));
         }
     }
@@ -454,13 +455,13 @@
     fn request_permits(&mut self, node: usize) {
         let mut waiting = 0;
         for _ in 0..self.demand {
-            match self.nodes[node].ledger.take(SERVER, self.now) {
-                Taken::Leave(_) => self.sent.push((self.now, self.now)),
-                Taken::Limited(_) => {}
-                Taken::Ask => waiting += 1,
+            match self.nodes[node].ledger.acquire(SERVER, self.now) {
+                AcquireOutcome::Permit(_) => self.sent.push((self.now, self.now)),
+                AcquireOutcome::Limited(_) => {}
+                AcquireOutcome::AskAuthority => waiting += 1,
             }
         }
-        let asked_for = self.nodes[node].choice.asked_for(self.now);
+        let asked_for = self.nodes[node].choice.time_since_request(self.now);
         let is_vote_due = asked_for.is_none_or(|time| time >= VOTE_INTERVAL);
         if waiting > 0 || is_vote_due {
             self.send_permit_request(node, waiting);
@@ -471,8 +472,8 @@
         let Some(authority) = self.choose_authority(node) else {
             return;
         };
-        self.nodes[node].choice.note_asked(self.now);
-        let sent_after = self.nodes[node].choice.sent_after(self.now);
+        self.nodes[node].choice.record_request(self.now);
+        let sent_after = self.nodes[node].choice.authority_time(self.now);
         let request = Envelope {
             from: node,
             to: authority,
@@ -495,7 +496,7 @@
             .filter(|(other, _)| (reachable >> other) & 1 == 1)
             .map(|(_, name)| *name)
             .collect();
-        let chosen = self.nodes[node].choice.choose(&reachable, now)?;
+        let chosen = self.nodes[node].choice.select(&reachable, now)?;
         NAMES.iter().position(|name| *name == chosen)
     }
 }
@@ -529,10 +530,10 @@
         .authority_rate(per_second)
         .expect("the limit allows a request");
     Node {
-        ledger: Ledger::default(),
+        ledger: PermitCache::default(),
         authority: Authority::new(ColdBound::AUTHORITY_BOUND, incarnation),
-        choice: AuthorityChoice::new(VOTE_LIFE),
-        bucket: Bucket::begun_at(Budget::of(rate, ColdBound::AUTHORITY_BOUND), now),
+        choice: AuthoritySelector::new(VOTE_TTL),
+        bucket: TokenBucket::started_at(Budget::for_rate(rate, ColdBound::AUTHORITY_BOUND), now),
         reachable: (1 << NODES) - 1,
         extra_listed: 0,
         is_frozen: false,
