--- a/crates/spurpier-core/tests/incarnation_model/mod.rs
+++ b/crates/spurpier-core/tests/incarnation_model/mod.rs
@@ -19,20 +19,20 @@
 const SERVERS: usize = 3;
 const GROUP: &str = "group";
 /// More than a refusal is remembered for, in milliseconds.
-const PAUSE_MS: u64 = 200;
+const ADVANCE_MS: u64 = 200;
 
 /// One mechanism taken out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Breakage {
     None,
     /// Lives of a server are not told apart.
-    NoLives,
+    MergedIncarnations,
     /// What a lead shows is not held against what it showed before.
-    NoShown,
+    NoPositionCheck,
     /// Rows count in the order in which they come.
     NoVersions,
     /// A server is ordered to lead although it has started again since it was chosen.
-    OrdersFormerLife,
+    PromotesFormerIncarnation,
 }
 
 #[derive(Debug, Clone)]
@@ -44,9 +44,9 @@
         moves: bool,
     },
     /// The server writes its row.
-    Tell(usize),
+    Announce(usize),
     /// Another writer puts something under the server's key.
-    Spoil(usize),
+    Corrupt(usize),
     RemoveRow(usize),
     /// One of all rows that were ever written comes, again perhaps.
     Deliver(prop::sample::Index),
@@ -57,10 +57,10 @@
     Write,
     Read(usize),
     Decide,
-    Order,
+    Promote,
     /// The node starts again, and is told of the newest succession and the whole table.
     RestartNode,
-    Pass,
+    Advance,
 }
 
 pub fn steps() -> impl Strategy<Value = Step> {
@@ -69,8 +69,8 @@
         2 => server.clone().prop_map(Step::Crash),
         4 => (server.clone(), any::<bool>(), any::<bool>())
             .prop_map(|(server, keeps_log, moves)| Step::Start { server, keeps_log, moves }),
-        4 => server.clone().prop_map(Step::Tell),
-        1 => server.clone().prop_map(Step::Spoil),
+        4 => server.clone().prop_map(Step::Announce),
+        1 => server.clone().prop_map(Step::Corrupt),
         1 => server.clone().prop_map(Step::RemoveRow),
         4 => any::<prop::sample::Index>().prop_map(Step::Deliver),
         2 => Just(Step::ReadTable),
@@ -78,9 +78,9 @@
         8 => Just(Step::Write),
         4 => server.prop_map(Step::Read),
         3 => Just(Step::Decide),
-        3 => Just(Step::Order),
+        3 => Just(Step::Promote),
         1 => Just(Step::RestartNode),
-        2 => Just(Step::Pass),
+        2 => Just(Step::Advance),
     ]
 }
 
@@ -93,7 +93,7 @@
 #[derive(Debug, Clone)]
 struct Server {
     is_alive: bool,
-    born: u64,
+    started_ms: u64,
     port: u16,
     log: Vec<Record>,
 }
@@ -117,7 +117,7 @@
 #[derive(Debug, Clone)]
 struct Connection {
     believed: Incarnation,
-    born: u64,
+    started_ms: u64,
     /// What the server showed when it was opened.
     shown: LeadershipProof,
 }
@@ -129,16 +129,16 @@
     servers: Vec<Server>,
     term: u64,
     /// The server that takes writes, as long as it runs.
-    lead: usize,
+    leader: usize,
     version: u64,
     table: BTreeMap<String, RosterRow>,
     history: Vec<RosterRow>,
     roster: Roster,
-    leading: LeaderView,
+    view: LeaderView,
     connections: BTreeMap<usize, Connection>,
     stored: Option<Succession>,
     /// A decision whose order has not left.
-    decided: Option<Succession>,
+    pending_promotion: Option<Succession>,
     /// What the oracle holds the log against that is written and read.
     acknowledged: Vec<u64>,
     /// Whether the node has had a proof since it started.
@@ -156,7 +156,7 @@
     pub fn new(breakage: Breakage) -> Self {
         let server = |number| Server {
             is_alive: true,
-            born: number,
+            started_ms: number,
             port: 1_000 + number as u16,
             log: Vec::new(),
         };
@@ -166,21 +166,21 @@
             next_write: 1,
             servers: (0..SERVERS as u64).map(server).collect(),
             term: 1,
-            lead: 0,
+            leader: 0,
             version: 0,
             table: BTreeMap::new(),
             history: Vec::new(),
             roster: Roster::default(),
-            leading: LeaderView::default(),
+            view: LeaderView::default(),
             connections: BTreeMap::new(),
             stored: None,
-            decided: None,
+            pending_promotion: None,
             acknowledged: Vec::new(),
             has_proof: false,
             writers: BTreeMap::new(),
             violation: None,
         };
-        (0..SERVERS).for_each(|server| world.tell(server));
+        (0..SERVERS).for_each(|server| world.announce(server));
         world.read_table();
         world
     }
@@ -198,8 +198,8 @@
                 keeps_log,
                 moves,
             } => self.start(*server, *keeps_log, *moves),
-            Step::Tell(server) => self.tell(*server),
-            Step::Spoil(server) => self.write_row(*server, RowContent::Unusable),
+            Step::Announce(server) => self.announce(*server),
+            Step::Corrupt(server) => self.write_row(*server, RowContent::Unusable),
             Step::RemoveRow(server) => self.write_row(*server, RowContent::Removed),
             Step::Deliver(index) => {
                 let row = index.get(&self.history).clone();
@@ -210,9 +210,9 @@
             Step::Write => self.write(),
             Step::Read(server) => self.read(*server),
             Step::Decide => self.decide(),
-            Step::Order => self.order(),
+            Step::Promote => self.promote(),
             Step::RestartNode => self.restart_node(),
-            Step::Pass => self.now_ms += PAUSE_MS,
+            Step::Advance => self.now_ms += ADVANCE_MS,
         }
     }
 
@@ -220,14 +220,14 @@
         Timestamp::from_micros(self.now_ms * 1_000)
     }
 
-    fn note_violation(&mut self, text: impl Into<String>) {
+    fn record_violation(&mut self, text: impl Into<String>) {
         self.violation.get_or_insert(text.into());
     }
 
     fn start(&mut self, server: usize, keeps_log: bool, moves: bool) {
         let started = &mut self.servers[server];
         started.is_alive = true;
-        started.born += SERVERS as u64;
+        started.started_ms += SERVERS as u64;
         if moves {
             started.port += SERVERS as u16;
         }
@@ -236,26 +236,27 @@
         }
     }
 
-    fn tell(&mut self, server: usize) {
-        let telling = &self.servers[server];
-        if !telling.is_alive {
+    fn announce(&mut self, server: usize) {
+        let announcing = &self.servers[server];
+        if !announcing.is_alive {
             return;
         }
-        let started_ms = (self.breakage != Breakage::NoLives).then_some(telling.born);
+        let reported_start =
+            (self.breakage != Breakage::MergedIncarnations).then_some(announcing.started_ms);
         let endpoint = ServerEndpoint {
-            incarnation: Incarnation::new(&name(server), started_ms),
+            incarnation: Incarnation::new(&name(server), reported_start),
             group: GROUP.to_owned(),
-            address: SocketAddr::from(([10, 0, 0, 1], telling.port)),
+            address: SocketAddr::from(([10, 0, 0, 1], announcing.port)),
         };
-        let born = telling.born;
+        let started_ms = announcing.started_ms;
         self.write_row(server, RowContent::Server(endpoint));
-        self.writers.insert(self.version, born);
+        self.writers.insert(self.version, started_ms);
     }
 
     /// Whether the row that the node knows of a server is that of its present life.
-    fn is_told(&self, server: usize) -> bool {
+    fn is_row_current(&self, server: usize) -> bool {
         let version = self.roster.version(&name(server));
-        self.writers.get(&version.to_bits()) == Some(&self.servers[server].born)
+        self.writers.get(&version.to_bits()) == Some(&self.servers[server].started_ms)
     }
 
     fn write_row(&mut self, server: usize, content: RowContent) {
@@ -275,7 +276,7 @@
             row.version = StoreVersion::from_bits(known + 1);
         }
         let change = self.roster.apply(row);
-        self.take_change(change);
+        self.apply_change(change);
     }
 
     fn read_table(&mut self) {
@@ -287,7 +288,7 @@
             .roster
             .replace(rows.collect(), StoreVersion::from_bits(self.version));
         for change in changes {
-            self.take_change(change);
+            self.apply_change(change);
         }
         for server in 0..SERVERS {
             let listed = match self.table.get(&name(server)).map(|row| &row.content) {
@@ -295,12 +296,12 @@
                 _ => None,
             };
             if self.roster.endpoint(&name(server)) != listed.as_ref() {
-                self.note_violation("the roster differs from the table that was read");
+                self.record_violation("the roster differs from the table that was read");
             }
         }
     }
 
-    fn take_change(&mut self, change: RosterChange) {
+    fn apply_change(&mut self, change: RosterChange) {
         let (former, present) = match change {
             RosterChange::Join(present) | RosterChange::Update(present) => (None, Some(present)),
             RosterChange::Restart { former, present } => (Some(former), Some(present)),
@@ -309,14 +310,14 @@
             }
         };
         if let Some(former) = former {
-            self.leading.remove_incarnation(&former.incarnation);
+            self.view.remove_incarnation(&former.incarnation);
         }
         if let Some(present) = present {
-            for other in self.leading.other_incarnations_of(&present.incarnation) {
-                self.leading.remove_incarnation(&other);
+            for other in self.view.other_incarnations_of(&present.incarnation) {
+                self.view.remove_incarnation(&other);
             }
-            self.leading.add_incarnation(present.incarnation.clone());
-            self.leading.record_entry_change(&present.incarnation, true);
+            self.view.add_incarnation(present.incarnation.clone());
+            self.view.record_entry_change(&present.incarnation, true);
         }
     }
 
@@ -332,16 +333,17 @@
 
     /// A connection to a endpoint, opened if the one that there was is broken; what the server showed as
     /// it was opened is checked before anything is sent to it as the lead.
-    fn connect(&mut self, endpoint: &ServerEndpoint, as_lead: bool) -> Option<usize> {
+    fn connect(&mut self, endpoint: &ServerEndpoint, as_leader: bool) -> Option<usize> {
         let server = self.reach(endpoint)?;
-        let born = self.servers[server].born;
+        let started_ms = self.servers[server].started_ms;
         let known = self.connections.get(&server);
-        let is_open =
-            known.is_some_and(|known| known.born == born && known.believed == endpoint.incarnation);
+        let is_open = known.is_some_and(|known| {
+            known.started_ms == started_ms && known.believed == endpoint.incarnation
+        });
         if !is_open {
             let opened = Connection {
                 believed: endpoint.incarnation.clone(),
-                born,
+                started_ms,
                 shown: LeadershipProof {
                     sent_at: self.now(),
                     position: self.servers[server].position(),
@@ -350,10 +352,10 @@
             self.connections.insert(server, opened);
         }
         let shown = self.connections[&server].shown;
-        let checked = self.leading.check_position(&endpoint.incarnation, shown);
-        if as_lead && checked.is_err() && self.breakage != Breakage::NoShown {
+        let checked = self.view.check_position(&endpoint.incarnation, shown);
+        if as_leader && checked.is_err() && self.breakage != Breakage::NoPositionCheck {
             let now = self.now();
-            self.leading.record_refusal(&endpoint.incarnation, now);
+            self.view.record_refusal(&endpoint.incarnation, now);
             return None;
         }
         Some(server)
@@ -373,15 +375,15 @@
     fn write(&mut self) {
         let now = self.now();
         let mut endpoints = self.endpoints();
-        endpoints.retain(|endpoint| self.leading.is_leader_candidate(&endpoint.incarnation, now));
-        endpoints.sort_by_key(|endpoint| self.leading.leader() != Some(&endpoint.incarnation));
+        endpoints.retain(|endpoint| self.view.is_leader_candidate(&endpoint.incarnation, now));
+        endpoints.sort_by_key(|endpoint| self.view.leader() != Some(&endpoint.incarnation));
         for endpoint in endpoints {
             let Some(server) = self.connect(&endpoint, true) else {
                 continue;
             };
-            if server != self.lead {
+            if server != self.leader {
                 let now = self.now();
-                self.leading.record_refusal(&endpoint.incarnation, now);
+                self.view.record_refusal(&endpoint.incarnation, now);
                 continue;
             }
             self.run_write(&endpoint, server);
@@ -390,12 +392,12 @@
     }
 
     fn run_write(&mut self, endpoint: &ServerEndpoint, server: usize) {
-        if !self.has_proof && !self.is_told(server) {
+        if !self.has_proof && !self.is_row_current(server) {
             // The node knows of the lead's log what that held at the decision, and nothing tells it
             // that another life has begun.
             let received = self.stored.as_ref().map(|stored| stored.received.offset);
             let received = usize::try_from(received.unwrap_or(0)).expect("a short log");
-            self.lose_beyond(server, received);
+            self.forget_beyond(server, received);
         }
         self.check_log(server, "a write ran");
         let sent_at = self.now();
@@ -408,24 +410,24 @@
         let position = self.servers[server].position();
         let proof = LeadershipProof { sent_at, position };
         let now = self.now();
-        match self.leading.record_proof(&endpoint.incarnation, proof, now) {
+        match self.view.record_proof(&endpoint.incarnation, proof, now) {
             Ok(_) => {
                 self.acknowledged.push(write);
                 self.has_proof = true;
             }
-            Err(_) if self.breakage == Breakage::NoShown => self.acknowledged.push(write),
+            Err(_) if self.breakage == Breakage::NoPositionCheck => self.acknowledged.push(write),
             Err(_) => {}
         }
     }
 
     /// Lets the replicas drop what disagrees with the lead's log, as the platform does: a position of
     /// one term names one record.
-    fn roll_back_to(&mut self, lead: usize) {
-        let lead_log = self.servers[lead].log.clone();
+    fn roll_back_to(&mut self, leader: usize) {
+        let leader_log = self.servers[leader].log.clone();
         for server in &mut self.servers {
-            let pairs = server.log.iter().zip(&lead_log);
+            let pairs = server.log.iter().zip(&leader_log);
             let same = pairs.take_while(|(one, other)| one == other).count();
-            if same < lead_log.len() {
+            if same < leader_log.len() {
                 server.log.truncate(same);
             }
         }
@@ -444,7 +446,7 @@
         let lacks = |write: &&u64| !holds(&servers[server], **write);
         if let Some(lacking) = acknowledged.iter().find(lacks) {
             let text = format!("{what} on a log that lacks acknowledged write {lacking}");
-            self.note_violation(text);
+            self.record_violation(text);
         }
     }
 
@@ -452,7 +454,7 @@
         let Some(endpoint) = self.roster.endpoint(&name(server)).cloned() else {
             return;
         };
-        let Some(proof) = self.leading.proofs().newest() else {
+        let Some(proof) = self.view.proofs().newest() else {
             return;
         };
         let Some(reached) = self.connect(&endpoint, false) else {
@@ -464,9 +466,9 @@
     }
 
     fn replicate(&mut self, server: usize) {
-        let lead = &self.servers[self.lead];
-        if lead.is_alive && self.servers[server].is_alive {
-            self.servers[server].log = lead.log.clone();
+        let leader = &self.servers[self.leader];
+        if leader.is_alive && self.servers[server].is_alive {
+            self.servers[server].log = leader.log.clone();
         }
     }
 
@@ -479,9 +481,9 @@
             Some(self.servers[server].position())
         };
         let leads = |endpoint: &&ServerEndpoint| {
-            self.reach(endpoint) == Some(self.lead)
+            self.reach(endpoint) == Some(self.leader)
                 && received(endpoint).is_some_and(|received| {
-                    !self.leading.has_lost_log(&endpoint.incarnation, received)
+                    !self.view.has_lost_log(&endpoint.incarnation, received)
                 })
         };
         let candidates: Vec<SuccessorCandidate> = endpoints
@@ -508,18 +510,18 @@
         };
         self.stored = Some(succession.clone());
         let now = self.now();
-        self.leading.apply_succession(&succession, now);
-        if let Some(server) = self.reach(&chosen).filter(|server| *server == self.lead) {
+        self.view.apply_succession(&succession, now);
+        if let Some(server) = self.reach(&chosen).filter(|server| *server == self.leader) {
             // It leads already, with what it has.
             let held = self.servers[server].log.len();
-            self.lose_beyond(server, held);
+            self.forget_beyond(server, held);
         }
-        self.decided = Some(succession);
+        self.pending_promotion = Some(succession);
     }
 
     /// What a server that takes over lacks of its first records is lost: no replica was asked to hold
     /// it.
-    fn lose_beyond(&mut self, server: usize, records: usize) {
+    fn forget_beyond(&mut self, server: usize, records: usize) {
         let log = &self.servers[server].log;
         let log = &log[..records.min(log.len())];
         let is_kept = |write: &u64| log.iter().any(|record| record.write == *write);
@@ -527,49 +529,52 @@
     }
 
     /// Orders the chosen server to lead; the order names it, and not its life.
-    fn order(&mut self) {
-        let Some(succession) = self.decided.take() else {
+    fn promote(&mut self) {
+        let Some(succession) = self.pending_promotion.take() else {
             return;
         };
-        let ordered = &succession.successor;
-        let listed = self.roster.endpoint(ordered.name());
-        let is_listed = listed.is_some_and(|endpoint| endpoint.incarnation == *ordered);
-        if !is_listed && self.breakage != Breakage::OrdersFormerLife {
+        let successor = &succession.successor;
+        let listed = self.roster.endpoint(successor.name());
+        let is_listed = listed.is_some_and(|endpoint| endpoint.incarnation == *successor);
+        if !is_listed && self.breakage != Breakage::PromotesFormerIncarnation {
             return;
         }
-        if listed.is_some_and(|endpoint| endpoint.incarnation.is_other_incarnation_of(ordered)) {
-            self.note_violation("an order for a life that was known to be over");
+        if listed.is_some_and(|endpoint| endpoint.incarnation.is_other_incarnation_of(successor)) {
+            self.record_violation("an order for a life that was known to be over");
         }
-        let server = self.server_of(ordered);
+        let server = self.server_of(successor);
         if !self.servers[server].is_alive {
             return;
         }
-        if server != self.lead {
-            self.lead = server;
+        if server != self.leader {
+            self.leader = server;
             self.term += 1;
         }
         // What it has received since it was chosen nobody knows until it has shown that as the lead.
         let received = usize::try_from(succession.received.offset).expect("a short log");
-        self.lose_beyond(server, received);
+        self.forget_beyond(server, received);
     }
 
     /// Before the first decision a node that starts has nothing to hold the primary's log against, so
     /// that it starts only while the primary holds what its replicas do.
     fn restart_node(&mut self) {
-        let held_by_lead = self.servers[self.lead].position();
-        let lead_is_behind = self.servers.iter().any(|one| one.position() > held_by_lead);
-        if self.stored.is_none() && lead_is_behind {
+        let held_by_leader = self.servers[self.leader].position();
+        let leader_is_behind = self
+            .servers
+            .iter()
+            .any(|one| one.position() > held_by_leader);
+        if self.stored.is_none() && leader_is_behind {
             return;
         }
         self.roster = Roster::default();
-        self.leading = LeaderView::default();
+        self.view = LeaderView::default();
         self.connections.clear();
-        self.decided = None;
+        self.pending_promotion = None;
         self.has_proof = false;
         match self.stored.clone() {
             Some(stored) => {
                 let now = self.now();
-                self.leading.apply_succession(&stored, now);
+                self.view.apply_succession(&stored, now);
             }
             // Nothing tells which life led before: what the primary shows must be believed.
             None => self.acknowledged.clear(),
--- a/crates/spurpier-core/tests/incarnations.rs
+++ b/crates/spurpier-core/tests/incarnations.rs
@@ -44,9 +44,9 @@
     fn apply((): (), _: &Step) {}
 }
 
-struct Lives;
+struct IncarnationModel;
 
-impl StateMachineTest for Lives {
+impl StateMachineTest for IncarnationModel {
     type SystemUnderTest = World;
     type Reference = AnyStep;
 
@@ -65,11 +65,11 @@
     #![proptest_config(config(cases(DEFAULT_CASES)))]
 
     #[test]
-    fn nothing_of_a_former_life_is_believed(sequential 20..160 => Lives);
+    fn nothing_of_a_former_incarnation_is_believed(sequential 20..160 => IncarnationModel);
 }
 
 /// Whether the oracle notices a world in which one mechanism is taken out.
-fn is_noticed(breakage: Breakage) -> bool {
+fn is_detected(breakage: Breakage) -> bool {
     let mut runner = TestRunner::new(Config {
         max_shrink_iters: 0,
         ..config(20_000)
@@ -87,28 +87,28 @@
 }
 
 #[test]
-fn a_world_with_all_mechanisms_is_in_order() {
-    assert!(!is_noticed(Breakage::None));
+fn the_model_without_a_breakage_holds() {
+    assert!(!is_detected(Breakage::None));
 }
 
 #[test]
-fn lives_that_are_not_told_apart_are_noticed() {
-    assert!(is_noticed(Breakage::NoLives));
+fn merged_incarnations_are_detected() {
+    assert!(is_detected(Breakage::MergedIncarnations));
 }
 
 #[test]
-fn a_lost_log_that_nobody_looks_for_is_noticed() {
-    assert!(is_noticed(Breakage::NoShown));
+fn a_lost_log_without_a_position_check_is_detected() {
+    assert!(is_detected(Breakage::NoPositionCheck));
 }
 
 #[test]
-fn rows_without_an_order_are_noticed() {
-    assert!(is_noticed(Breakage::NoVersions));
+fn rows_without_versions_are_detected() {
+    assert!(is_detected(Breakage::NoVersions));
 }
 
 #[test]
-fn an_order_for_a_former_life_is_noticed() {
-    assert!(is_noticed(Breakage::OrdersFormerLife));
+fn a_promotion_of_a_former_incarnation_is_detected() {
+    assert!(is_detected(Breakage::PromotesFormerIncarnation));
 }
 
 fn endpoint(name: &str, started_ms: Option<u64>, port: u16) -> ServerEndpoint {
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn another_start_or_another_address_is_another_life() {
+fn another_start_or_address_replaces_the_former_endpoint() {
     let mut roster = Roster::default();
     let first = endpoint("i-1", Some(10), 1);
     let joined = roster.apply(row(1, RowContent::Server(first.clone())));
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_late_row_brings_no_former_life_back() {
+fn a_late_row_does_not_restore_a_former_incarnation() {
     let mut roster = Roster::default();
     let first = endpoint("i-1", Some(10), 1);
     let second = endpoint("i-1", Some(20), 2);
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn an_unusable_row_takes_only_its_own_server_out() {
+fn an_unusable_row_removes_only_its_own_server() {
     let mut roster = Roster::default();
     let other = endpoint("i-2", Some(10), 2);
     let other_row = RosterRow {
@@ -174,16 +174,16 @@
     roster.apply(other_row);
     let server = endpoint("i-1", Some(10), 1);
     roster.apply(row(2, RowContent::Server(server.clone())));
-    let spoiled = roster.apply(row(3, RowContent::Unusable));
-    assert_eq!(spoiled, RosterChange::Invalidate(server.clone()));
+    let corrupted = roster.apply(row(3, RowContent::Unusable));
+    assert_eq!(corrupted, RosterChange::Invalidate(server.clone()));
     assert_eq!(roster.endpoint("i-1"), None);
     assert_eq!(roster.endpoint("i-2"), Some(&other));
-    let mended = roster.apply(row(4, RowContent::Server(server.clone())));
-    assert_eq!(mended, RosterChange::Join(server));
+    let restored = roster.apply(row(4, RowContent::Server(server.clone())));
+    assert_eq!(restored, RosterChange::Join(server));
 }
 
 #[test]
-fn a_succession_names_one_life_and_is_read_from_nodes_that_know_of_none() {
+fn a_succession_names_one_incarnation_and_is_read_without_its_details() {
     let succession = Succession {
         token: 7,
         successor: Incarnation::new("i-1", Some(1_776_308_701_290)),
@@ -192,9 +192,9 @@
     };
     let read = Succession::deserialize_bin(&succession.serialize_bin());
     assert_eq!(read.expect("it is read"), succession);
-    let mut former_form = 7_u64.serialize_bin();
-    encode_text("i-1", &mut former_form);
-    let read = Succession::deserialize_bin(&former_form).expect("it is read");
+    let mut without_details = 7_u64.serialize_bin();
+    encode_text("i-1", &mut without_details);
+    let read = Succession::deserialize_bin(&without_details).expect("it is read");
     assert_eq!(read.successor, Incarnation::new("i-1", None));
     assert_eq!(read.received, Position::ZERO);
     assert_eq!(read.deposed, None);
--- a/crates/spurpier-core/tests/lead.rs
+++ b/crates/spurpier-core/tests/lead.rs
@@ -26,18 +26,18 @@
     }
 }
 
-fn evidence(proofs: &[LeadershipProof]) -> LeadershipProofs {
-    let mut evidence = LeadershipProofs::default();
+fn recorded(proofs: &[LeadershipProof]) -> LeadershipProofs {
+    let mut recorded = LeadershipProofs::default();
     for proof in proofs {
-        evidence.record(*proof);
+        recorded.record(*proof);
     }
-    evidence
+    recorded
 }
 
 #[test]
 fn a_read_takes_the_oldest_proof_that_is_new_enough() {
-    let evidence = evidence(&[proof(100, 1, 5), proof(200, 1, 8), proof(300, 1, 9)]);
-    let floor = |since| read_floor(&evidence, at(since), None);
+    let proofs = recorded(&[proof(100, 1, 5), proof(200, 1, 8), proof(300, 1, 9)]);
+    let floor = |since| read_floor(&proofs, at(since), None);
     assert_eq!(floor(50), Some(Position::new(1, 5)));
     assert_eq!(floor(150), Some(Position::new(1, 8)));
     assert_eq!(floor(300), Some(Position::new(1, 9)));
@@ -45,49 +45,49 @@
 }
 
 #[test]
-fn a_late_answer_to_an_early_message_is_no_newer_proof() {
-    let mut evidence = evidence(&[proof(200, 1, 8)]);
-    evidence.record(proof(100, 1, 9));
-    assert_eq!(read_floor(&evidence, at(201), None), None);
+fn a_late_answer_to_an_early_message_is_not_a_newer_proof() {
+    let mut proofs = recorded(&[proof(200, 1, 8)]);
+    proofs.record(proof(100, 1, 9));
+    assert_eq!(read_floor(&proofs, at(201), None), None);
     assert_eq!(
-        read_floor(&evidence, at(100), None),
+        read_floor(&proofs, at(100), None),
         Some(Position::new(1, 8))
     );
 }
 
 #[test]
-fn proofs_that_stand_close_together_keep_the_first_and_the_last() {
+fn proofs_sent_close_together_keep_the_first_and_the_last() {
     let close: Vec<LeadershipProof> = (0..20)
         .map(|step| proof(100 + step, 1, 10 + step))
         .collect();
-    let evidence = evidence(&close);
-    assert_eq!(evidence.newest(), Some(proof(119, 1, 29)));
-    assert_eq!(evidence.oldest_covering(at(90)), Some(proof(100, 1, 10)));
-    assert_eq!(evidence.oldest_covering(at(119)), Some(proof(119, 1, 29)));
+    let proofs = recorded(&close);
+    assert_eq!(proofs.newest(), Some(proof(119, 1, 29)));
+    assert_eq!(proofs.oldest_covering(at(90)), Some(proof(100, 1, 10)));
+    assert_eq!(proofs.oldest_covering(at(119)), Some(proof(119, 1, 29)));
 }
 
 #[test]
 fn many_proofs_do_not_grow_without_bound() {
-    let mut evidence = LeadershipProofs::default();
+    let mut proofs = LeadershipProofs::default();
     for step in 0..10_000 {
-        evidence.record(proof(step * 50, 1, step));
+        proofs.record(proof(step * 50, 1, step));
     }
-    let oldest = evidence
+    let oldest = proofs
         .oldest_covering(Timestamp::ZERO)
         .expect("some are kept");
     assert!(oldest.sent_at > at(400_000), "old proofs are dropped");
 }
 
 #[test]
-fn a_session_finds_its_own_commit() {
-    let evidence = evidence(&[proof(100, 1, 5)]);
+fn a_session_reads_its_own_commit() {
+    let proofs = recorded(&[proof(100, 1, 5)]);
     let own = |offset, acknowledged_ms| {
         Some(SessionCommit {
             position: Position::new(1, offset),
             acknowledged_at: at(acknowledged_ms),
         })
     };
-    let floor = |own| read_floor(&evidence, at(50), own);
+    let floor = |own| read_floor(&proofs, at(50), own);
     assert_eq!(floor(own(7, 150)), Some(Position::new(1, 7)));
     assert_eq!(floor(own(3, 150)), Some(Position::new(1, 5)));
     assert_eq!(
@@ -98,13 +98,13 @@
 }
 
 #[test]
-fn a_proof_of_a_newer_term_stands_for_commits_of_older_ones() {
-    let evidence = evidence(&[proof(100, 2, 5)]);
+fn a_proof_of_a_newer_term_covers_commits_of_older_terms() {
+    let proofs = recorded(&[proof(100, 2, 5)]);
     let own = Some(SessionCommit {
         position: Position::new(1, 9),
         acknowledged_at: at(150),
     });
-    let floor = read_floor(&evidence, at(50), own);
+    let floor = read_floor(&proofs, at(50), own);
     assert_eq!(floor, Some(Position::new(2, 5)));
 }
 
@@ -140,24 +140,27 @@
 }
 
 #[test]
-fn reads_leave_a_slow_or_crowded_server() {
+fn reads_avoid_a_slow_or_overloaded_server() {
     let mut slow = load(Distance::Zone);
     slow.answer_time = Duration::from_millis(200);
     assert_eq!(chosen(&[slow, load(Distance::Remote)], &[]), Some(1));
-    let mut crowded = load(Distance::Zone);
-    crowded.in_flight = 18;
-    assert_eq!(chosen(&[crowded, load(Distance::Remote)], &[]), Some(1));
+    let mut overloaded = load(Distance::Zone);
+    overloaded.in_flight = 18;
+    assert_eq!(chosen(&[overloaded, load(Distance::Remote)], &[]), Some(1));
 }
 
 #[test]
-fn reads_pass_over_a_leaving_a_silent_and_a_lagging_server() {
+fn reads_avoid_leaving_unresponsive_and_lagging_servers() {
     let mut leaving = load(Distance::Zone);
     leaving.accepts_reads = false;
     assert_eq!(chosen(&[leaving, load(Distance::Remote)], &[]), Some(1));
-    let mut silent = load(Distance::Zone);
-    silent.avoided_until = at(1_100);
-    assert_eq!(chosen(&[silent, load(Distance::Remote)], &[]), Some(1));
-    assert_eq!(chosen(&[silent], &[]), Some(0), "there is no other");
+    let mut unresponsive = load(Distance::Zone);
+    unresponsive.avoided_until = at(1_100);
+    assert_eq!(
+        chosen(&[unresponsive, load(Distance::Remote)], &[]),
+        Some(1)
+    );
+    assert_eq!(chosen(&[unresponsive], &[]), Some(0), "there is no other");
     let mut lagging = load(Distance::Zone);
     let observed = |at_ms, lag_ms| {
         Some(ObservedPosition {
@@ -183,19 +186,19 @@
 }
 
 #[test]
-fn a_replicas_lag_is_the_time_for_which_the_lead_has_held_more() {
-    let mut evidence = LeadershipProofs::default();
+fn replication_lag_is_the_time_for_which_the_leader_has_been_ahead() {
+    let mut proofs = LeadershipProofs::default();
     let now = at(9_000);
     assert_eq!(
-        evidence.replication_lag(Position::new(1, 5), now),
+        proofs.replication_lag(Position::new(1, 5), now),
         Duration::ZERO
     );
-    evidence.record(proof(1_000, 1, 5));
-    evidence.record(proof(4_000, 1, 8));
-    evidence.record(proof(6_000, 1, 8));
-    evidence.record(proof(8_500, 1, 12));
+    proofs.record(proof(1_000, 1, 5));
+    proofs.record(proof(4_000, 1, 8));
+    proofs.record(proof(6_000, 1, 8));
+    proofs.record(proof(8_500, 1, 12));
     let lag = |offset| {
-        evidence
+        proofs
             .replication_lag(Position::new(1, offset), now)
             .as_millis()
     };
@@ -221,34 +224,34 @@
 }
 
 #[test]
-fn one_nodes_silence_replaces_no_primary() {
-    let seen_by_all = missing(vec![observation(Some(100)); 6]);
+fn a_primary_is_replaced_only_if_more_nodes_miss_it_than_observe_it() {
+    let observed_by_all = missing(vec![observation(Some(100)); 6]);
     assert_eq!(
-        decide_failover(&seen_by_all, FAILURE_TIMEOUT),
+        decide_failover(&observed_by_all, FAILURE_TIMEOUT),
         FailoverDecision::Keep
     );
-    let seen_by_half = missing(vec![
+    let observed_by_half = missing(vec![
         observation(Some(100)),
         observation(Some(50)),
         observation(None),
     ]);
     assert_eq!(
-        decide_failover(&seen_by_half, FAILURE_TIMEOUT),
+        decide_failover(&observed_by_half, FAILURE_TIMEOUT),
         FailoverDecision::Keep
     );
-    let seen_by_few = missing(vec![
+    let observed_by_few = missing(vec![
         observation(Some(100)),
         observation(Some(2_000)),
         observation(None),
     ]);
     assert_eq!(
-        decide_failover(&seen_by_few, FAILURE_TIMEOUT),
+        decide_failover(&observed_by_few, FAILURE_TIMEOUT),
         FailoverDecision::Replace
     );
 }
 
 #[test]
-fn a_primary_is_given_its_time_to_answer() {
+fn a_primary_is_kept_until_the_failure_timeout() {
     let mut early = missing(vec![observation(None); 6]);
     early.missing_for = FAILURE_TIMEOUT - Duration::from_millis(1);
     assert_eq!(
@@ -258,7 +261,7 @@
 }
 
 #[test]
-fn a_node_that_hears_from_nobody_waits_for_the_directory() {
+fn an_isolated_node_waits_until_the_directory_drops_the_primary() {
     let mut alone = missing(Vec::new());
     assert_eq!(
         decide_failover(&alone, FAILURE_TIMEOUT),
@@ -279,17 +282,17 @@
 
 /// In a cut that leaves the primary with some nodes, those go on with it under their leases.
 #[test]
-fn a_primary_that_others_may_use_is_given_longer() {
-    let mut cut_off = missing(vec![observation(None)]);
-    cut_off.primary_listed = false;
-    cut_off.all_holders_reachable = false;
+fn a_primary_that_unreachable_nodes_may_use_is_kept_longer() {
+    let mut partitioned = missing(vec![observation(None)]);
+    partitioned.primary_listed = false;
+    partitioned.all_holders_reachable = false;
     assert_eq!(
-        decide_failover(&cut_off, FAILURE_TIMEOUT),
+        decide_failover(&partitioned, FAILURE_TIMEOUT),
         FailoverDecision::Keep
     );
-    cut_off.missing_for = PARTITION_TIMEOUT;
+    partitioned.missing_for = PARTITION_TIMEOUT;
     assert_eq!(
-        decide_failover(&cut_off, FAILURE_TIMEOUT),
+        decide_failover(&partitioned, FAILURE_TIMEOUT),
         FailoverDecision::Replace
     );
 }
@@ -303,7 +306,7 @@
 }
 
 #[test]
-fn among_replicas_that_received_as_much_the_one_that_fits_best_takes_over() {
+fn the_best_placed_of_equally_advanced_replicas_takes_over() {
     let placed = |offset, placement_score| SuccessorCandidate {
         placement_score,
         ..candidate(Some(offset), true)
@@ -327,12 +330,12 @@
 }
 
 #[test]
-fn with_synchronous_replicas_no_acknowledged_commit_may_be_missed() {
-    let all_told = [candidate(Some(5), true), candidate(Some(7), true)];
-    assert_eq!(choose_successor(&all_told, 1), Some(1));
-    let one_silent = [candidate(Some(5), true), candidate(None, true)];
-    assert_eq!(choose_successor(&one_silent, 1), None);
-    assert_eq!(choose_successor(&one_silent, 2), Some(0));
+fn with_synchronous_replicas_the_successor_holds_every_acknowledged_commit() {
+    let all_reported = [candidate(Some(5), true), candidate(Some(7), true)];
+    assert_eq!(choose_successor(&all_reported, 1), Some(1));
+    let one_unreported = [candidate(Some(5), true), candidate(None, true)];
+    assert_eq!(choose_successor(&one_unreported, 1), None);
+    assert_eq!(choose_successor(&one_unreported, 2), Some(0));
     let leaving_has_more = [candidate(Some(5), true), candidate(Some(7), false)];
     assert_eq!(choose_successor(&leaving_has_more, 1), None);
 }
@@ -346,10 +349,10 @@
 
 #[test]
 fn a_node_decides_without_a_holder_or_as_the_holder() {
-    let record = HolderStatus::new(at(1_000));
+    let holder_status = HolderStatus::new(at(1_000));
     let row = row_of("a");
     let step = |row: Option<&PromotionLeaseRow>, own: &str| {
-        next_promotion_step(row, own, &record, at(1_000))
+        next_promotion_step(row, own, &holder_status, at(1_000))
     };
     assert_eq!(step(None, "b"), PromotionStep::Decide);
     assert_eq!(step(Some(&row), "a"), PromotionStep::Decide);
@@ -357,47 +360,51 @@
 }
 
 #[test]
-fn the_duty_is_taken_over_from_a_holder_that_leaves_questions_unanswered() {
+fn the_promotion_lease_is_taken_over_from_an_unresponsive_holder() {
     let row = row_of("a");
-    let mut record = HolderStatus::new(at(1_000));
-    record.record_request(at(1_000), false);
-    let step = |record: &HolderStatus, now| next_promotion_step(Some(&row), "b", record, at(now));
-    assert_eq!(step(&record, 1_500), PromotionStep::AskHolder);
-    record.record_request(at(1_500), false);
-    assert_eq!(step(&record, 1_950), PromotionStep::Decide);
+    let mut holder_status = HolderStatus::new(at(1_000));
+    holder_status.record_request(at(1_000), false);
+    let step = |holder_status: &HolderStatus, now| {
+        next_promotion_step(Some(&row), "b", holder_status, at(now))
+    };
+    assert_eq!(step(&holder_status, 1_500), PromotionStep::AskHolder);
+    holder_status.record_request(at(1_500), false);
+    assert_eq!(step(&holder_status, 1_950), PromotionStep::Decide);
 }
 
 /// Found on a day with a crashed primary: the node had been answered and had then been busy asking
 /// the other nodes for longer than the holder's patience.
 #[test]
-fn time_without_a_question_does_not_count_against_a_holder() {
+fn time_without_a_request_does_not_count_against_the_holder() {
     let row = row_of("a");
-    let mut record = HolderStatus::new(at(1_000));
-    record.record_request(at(1_000), true);
-    let step = |record: &HolderStatus, now| next_promotion_step(Some(&row), "b", record, at(now));
-    assert_eq!(step(&record, 2_500), PromotionStep::AskHolder);
-    record.record_request(at(2_500), false);
-    record.record_request(at(2_900), true);
-    assert_eq!(step(&record, 3_700), PromotionStep::AskHolder);
+    let mut holder_status = HolderStatus::new(at(1_000));
+    holder_status.record_request(at(1_000), true);
+    let step = |holder_status: &HolderStatus, now| {
+        next_promotion_step(Some(&row), "b", holder_status, at(now))
+    };
+    assert_eq!(step(&holder_status, 2_500), PromotionStep::AskHolder);
+    holder_status.record_request(at(2_500), false);
+    holder_status.record_request(at(2_900), true);
+    assert_eq!(step(&holder_status, 3_700), PromotionStep::AskHolder);
 }
 
 #[test]
-fn a_holder_that_answers_and_does_nothing_loses_the_duty_in_the_end() {
+fn a_holder_that_answers_without_deciding_loses_the_promotion_lease() {
     let row = row_of("a");
-    let mut record = HolderStatus::new(at(1_000));
-    record.record_request(at(13_900), true);
+    let mut holder_status = HolderStatus::new(at(1_000));
+    holder_status.record_request(at(13_900), true);
     assert_eq!(
-        next_promotion_step(Some(&row), "b", &record, at(13_900)),
+        next_promotion_step(Some(&row), "b", &holder_status, at(13_900)),
         PromotionStep::AskHolder
     );
     assert_eq!(
-        next_promotion_step(Some(&row), "b", &record, at(14_100)),
+        next_promotion_step(Some(&row), "b", &holder_status, at(14_100)),
         PromotionStep::Decide
     );
 }
 
 #[test]
-fn a_token_of_a_later_era_is_above_those_that_the_store_has_lost() {
+fn tokens_of_a_later_era_exceed_those_that_the_store_has_lost() {
     let era = |number| StoreEra::new(number).expect("a small number");
     let mut lost = PromotionLeaseRow::next(None, "a", era(1));
     for _ in 0..1_000 {
@@ -429,7 +436,7 @@
 }
 
 #[test]
-fn a_node_that_goes_moves_only_the_groups_that_it_leads() {
+fn a_removed_node_does_not_change_the_order_of_the_others() {
     let all = nodes(12, |_| 1.0);
     let fewer = &all[..11];
     for group in 0..200 {
@@ -442,7 +449,7 @@
 }
 
 #[test]
-fn a_node_of_more_weight_is_home_of_more_groups() {
+fn a_node_with_more_weight_is_home_of_more_groups() {
     let all = nodes(10, |index| if index == 0 { 4.0 } else { 1.0 });
     let mut first_of = [0_u32; 10];
     for group in 0..1_300 {
@@ -454,7 +461,7 @@
 }
 
 #[test]
-fn every_node_is_a_home_where_connections_go_round() {
+fn every_node_is_a_home_if_connections_suffice() {
     assert_eq!(homes_per_zone(32, 7, 3), 7, "at most all of a zone");
     assert_eq!(homes_per_zone(32, 10, 3), 10);
     assert_eq!(homes_per_zone(36, 73, 6), 1);
@@ -487,7 +494,7 @@
 }
 
 #[test]
-fn the_lead_that_proved_itself_is_asked_first_while_it_answers() {
+fn the_proven_leader_is_asked_first_while_it_answers() {
     let proved = leader_candidate(true, false, false, 1);
     let claiming = leader_candidate(false, true, false, 9);
     assert_eq!(choose_leader_candidate(&[claiming, proved]), Some(1));
@@ -495,15 +502,18 @@
 }
 
 #[test]
-fn a_silent_lead_keeps_nobody_from_asking_the_others() {
-    let silent = leader_candidate(true, true, true, 9);
+fn responsive_servers_are_asked_before_an_unresponsive_leader() {
+    let unresponsive = leader_candidate(true, true, true, 9);
     let replica = leader_candidate(false, false, false, 1);
     let claiming = leader_candidate(false, true, false, 2);
     assert_eq!(
-        choose_leader_candidate(&[silent, replica, claiming]),
+        choose_leader_candidate(&[unresponsive, replica, claiming]),
         Some(2)
     );
-    assert_eq!(choose_leader_candidate(&[silent, replica]), Some(1));
-    let others_silent = leader_candidate(false, true, true, 2);
-    assert_eq!(choose_leader_candidate(&[others_silent, silent]), Some(1));
+    assert_eq!(choose_leader_candidate(&[unresponsive, replica]), Some(1));
+    let unresponsive_claimant = leader_candidate(false, true, true, 2);
+    assert_eq!(
+        choose_leader_candidate(&[unresponsive_claimant, unresponsive]),
+        Some(1)
+    );
 }
--- a/crates/spurpier-core/tests/lease.rs
+++ b/crates/spurpier-core/tests/lease.rs
@@ -39,9 +39,9 @@
     fn apply((): (), _: &Step) {}
 }
 
-struct Leases;
+struct LeaseModel;
 
-impl StateMachineTest for Leases {
+impl StateMachineTest for LeaseModel {
     type SystemUnderTest = World;
     type Reference = AnyStep;
 
@@ -60,11 +60,11 @@
     #![proptest_config(config(cases(DEFAULT_CASES)))]
 
     #[test]
-    fn nobody_believes_a_replaced_primary(sequential 20..160 => Leases);
+    fn no_node_believes_a_replaced_primary(sequential 20..160 => LeaseModel);
 }
 
 /// Whether the oracle notices a world in which one mechanism is taken out.
-fn is_noticed(breakage: Breakage) -> bool {
+fn is_detected(breakage: Breakage) -> bool {
     let mut runner = TestRunner::new(Config {
         max_shrink_iters: 0,
         ..config(20_000)
@@ -82,39 +82,39 @@
 }
 
 #[test]
-fn each_mechanism_that_is_taken_out_is_noticed() {
+fn each_common_breakage_is_detected() {
     for breakage in Breakage::COMMON {
-        assert!(is_noticed(breakage), "{breakage:?}");
+        assert!(is_detected(breakage), "{breakage:?}");
     }
 }
 
 /// Too rare a sequence for random steps: a node yields, starts again, and is told the table by
 /// another one, which does not know what it has yielded to and yields later.
 #[test]
-fn a_node_that_started_again_uses_no_lead_before_the_store_has_told_it() {
+fn a_restarted_node_uses_no_leader_before_the_store_reports_to_it() {
     const DECIDING: usize = 0;
-    const STARTED: usize = 1;
-    const TELLING: usize = 2;
+    const RESTARTED: usize = 1;
+    const REPORTING: usize = 2;
     let steps = [
-        Step::Pass(50),
-        Step::Cut(1 << TELLING),
+        Step::Advance(50),
+        Step::Partition(1 << REPORTING),
         Step::Decide(DECIDING),
-        Step::AskYields(DECIDING),
-        Step::Cut(0),
-        Step::Restart(STARTED, TELLING),
-        Step::Cut(1 << STARTED),
-        Step::AskYields(DECIDING),
+        Step::RequestReleases(DECIDING),
+        Step::Partition(0),
+        Step::Restart(RESTARTED, REPORTING),
+        Step::Partition(1 << RESTARTED),
+        Step::RequestReleases(DECIDING),
         Step::Proceed(DECIDING),
-        Step::CarryOut(DECIDING),
+        Step::CompletePromotion(DECIDING),
     ];
-    let play = |breakage| {
+    let run = |breakage| {
         let mut world = World::new(breakage);
         steps.iter().for_each(|step| world.apply(step));
-        assert!(world.is_ordered(), "the steps lead to an order");
+        assert!(world.is_promoted(), "the steps lead to an order");
         world.violation().is_some()
     };
-    assert!(!play(Breakage::None));
-    assert!(play(Breakage::FormerNews));
+    assert!(!run(Breakage::None));
+    assert!(run(Breakage::LeaseFromPeer));
 }
 
 /// Too rare a sequence as well: a node registers anew after the deciding node has read the list.
@@ -126,24 +126,24 @@
     let steps = [
         Step::Unregister(NO_HOLDER),
         Step::Unregister(REGISTERED),
-        Step::StoreTells(DECIDING),
+        Step::StoreReports(DECIDING),
         Step::ReadStore(DECIDING),
-        Step::StoreTells(REGISTERED),
+        Step::StoreReports(REGISTERED),
         Step::ReadStore(REGISTERED),
         Step::Register(REGISTERED),
-        Step::StoreTells(REGISTERED),
+        Step::StoreReports(REGISTERED),
         Step::ReadStore(REGISTERED),
         Step::Decide(DECIDING),
         Step::Proceed(DECIDING),
-        Step::CarryOut(DECIDING),
+        Step::CompletePromotion(DECIDING),
     ];
-    let play = |breakage| {
+    let run = |breakage| {
         let mut world = World::new(breakage);
         steps.iter().for_each(|step| world.apply(step));
         world.violation().is_some()
     };
-    assert!(!play(Breakage::None));
-    assert!(play(Breakage::OldHolders));
+    assert!(!run(Breakage::None));
+    assert!(run(Breakage::StaleHolders));
 }
 
 fn at(millis: u64) -> Timestamp {
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_round_in_which_all_have_yielded_orders_at_once() {
+fn a_round_in_which_all_nodes_have_released_promotes_immediately() {
     let mut round = round(&["b", "c"]);
     let soon = STORED + Duration::from_millis(30);
     assert_eq!(round.state(7, soon), RoundState::Wait);
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_silent_node_is_waited_for_until_its_lease_has_ended() {
+fn a_round_waits_for_an_unresponsive_node_until_its_lease_has_expired() {
     let mut round = round(&["b", "c"]);
     round.record_release("b", 7);
     let end = STORED + LEADER_LEASE + LEADER_LEASE_MARGIN;
@@ -190,14 +190,14 @@
 }
 
 #[test]
-fn a_primary_that_stepped_down_is_waited_for_by_nobody() {
+fn a_round_does_not_wait_after_the_primary_has_stepped_down() {
     let mut round = round(&["b", "c"]);
     round.clear_pending();
     assert_eq!(round.state(7, STORED), RoundState::Promote);
 }
 
 #[test]
-fn a_lease_is_as_old_as_the_stores_news() {
+fn a_lease_expires_with_the_stores_last_report() {
     assert!(!holds_leader_lease(None, at(1_000)));
     assert!(holds_leader_lease(Some(at(1_000)), at(10_999)));
     assert!(!holds_leader_lease(Some(at(1_000)), at(11_000)));
--- a/crates/spurpier-core/tests/lease_model/mod.rs
+++ b/crates/spurpier-core/tests/lease_model/mod.rs
@@ -9,7 +9,7 @@
 /// How many nodes there are.
 const NODES: usize = 3;
 /// How long an order that is under way may take to be carried out.
-const LONGEST_ORDER: u64 = 1_500;
+const MAX_PROMOTION_MS: u64 = 1_500;
 
 /// A mechanism that is taken out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -22,15 +22,15 @@
     /// A decision is ordered without a look whether there is a newer one.
     NoVerification,
     /// What another node tells at a start gives a lease.
-    FormerNews,
+    LeaseFromPeer,
     /// A node yields while its own order is under way.
-    YieldsWhileOrdering,
+    ReleasesWhilePromoting,
     /// The moment of what the store told is taken from when it was read.
-    YoungNews,
+    LeaseFromReadTime,
     /// A node that takes its registration back uses the lead on.
     UsesUnregistered,
     /// A decision waits for the nodes that were registered when its node last read the store.
-    OldHolders,
+    StaleHolders,
     /// A node decides that is not registered, so that a newer decision does not wait for its order.
     DecidesUnregistered,
 }
@@ -41,8 +41,8 @@
         Breakage::NoLease,
         Breakage::NoWait,
         Breakage::NoVerification,
-        Breakage::YieldsWhileOrdering,
-        Breakage::YoungNews,
+        Breakage::ReleasesWhilePromoting,
+        Breakage::LeaseFromReadTime,
         Breakage::UsesUnregistered,
         Breakage::DecidesUnregistered,
     ];
@@ -52,13 +52,13 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
     /// Time passes.
-    Pass(u64),
+    Advance(u64),
     /// The nodes of a set and the others no longer reach each other; an empty set heals it.
-    Cut(u8),
+    Partition(u8),
     /// Which nodes reach the store.
     StoreReachedBy(u8),
     /// The store answers a node, which reads the answer later.
-    StoreTells(usize),
+    StoreReports(usize),
     /// The node reads what the store has answered.
     ReadStore(usize),
     /// A node registers, so that it may hold the lease.
@@ -68,11 +68,11 @@
     /// A node decides.
     Decide(usize),
     /// A node asks all that it awaits to yield.
-    AskYields(usize),
+    RequestReleases(usize),
     /// A node does what its round says.
     Proceed(usize),
     /// An order that is under way is carried out and answered.
-    CarryOut(usize),
+    CompletePromotion(usize),
     /// A node starts again, and takes what another one knows if it reaches that one.
     Restart(usize, usize),
 }
@@ -80,17 +80,17 @@
 pub fn steps() -> impl Strategy<Value = Step> {
     let node = || 0..NODES;
     prop_oneof![
-        6 => prop_oneof![5_u64..60, 60_u64..900, 900_u64..5_000].prop_map(Step::Pass),
-        1 => any::<u8>().prop_map(Step::Cut),
+        6 => prop_oneof![5_u64..60, 60_u64..900, 900_u64..5_000].prop_map(Step::Advance),
+        1 => any::<u8>().prop_map(Step::Partition),
         1 => any::<u8>().prop_map(Step::StoreReachedBy),
-        4 => node().prop_map(Step::StoreTells),
+        4 => node().prop_map(Step::StoreReports),
         4 => node().prop_map(Step::ReadStore),
         1 => node().prop_map(Step::Register),
         1 => node().prop_map(Step::Unregister),
         2 => node().prop_map(Step::Decide),
-        4 => node().prop_map(Step::AskYields),
+        4 => node().prop_map(Step::RequestReleases),
         4 => node().prop_map(Step::Proceed),
-        3 => node().prop_map(Step::CarryOut),
+        3 => node().prop_map(Step::CompletePromotion),
         2 => (node(), node()).prop_map(|(node, from)| Step::Restart(node, from)),
     ]
 }
@@ -100,7 +100,7 @@
     started_at: Timestamp,
     /// The newest succession that it knows; its token stands for the server that it names.
     token: u64,
-    told_at: Option<Timestamp>,
+    reported_at: Option<Timestamp>,
     /// Which nodes are registered, as the store told it last.
     holders: [bool; NODES],
     /// Its writes of its own registration that are not known to be over: the version that each
@@ -112,13 +112,13 @@
     unread: Option<StoreAnswer>,
     round: Option<LeaseReleaseRound>,
     /// An order that is under way: its token, and when it left.
-    ordered: Option<(u64, Timestamp)>,
+    promotion: Option<(u64, Timestamp)>,
 }
 
 /// What the store holds, and when it told that.
 #[derive(Debug, Clone, Copy)]
 struct StoreAnswer {
-    told_at: Timestamp,
+    reported_at: Timestamp,
     /// The newest token.
     token: u64,
     /// Which nodes are registered.
@@ -134,9 +134,10 @@
         if !self.holders[own] || !(keeps || keeps_using) {
             return false;
         }
-        let counts =
-            |told_at: &Timestamp| *told_at > self.started_at || breakage == Breakage::FormerNews;
-        holds_leader_lease(self.told_at.filter(counts), now)
+        let counts = |reported_at: &Timestamp| {
+            *reported_at > self.started_at || breakage == Breakage::LeaseFromPeer
+        };
+        holds_leader_lease(self.reported_at.filter(counts), now)
     }
 }
 
@@ -144,16 +145,16 @@
     breakage: Breakage,
     now: Timestamp,
     nodes: Vec<Node>,
-    cut: u8,
+    partition: u8,
     store_reached_by: u8,
     /// The newest token in the store.
-    stored: u64,
+    stored_token: u64,
     /// Which nodes are registered in the store.
     holders: [bool; NODES],
     /// The versions of their registrations.
     versions: [u64; NODES],
     /// The token by whose order the present lead was promoted.
-    effective: u64,
+    promoted_token: u64,
     violation: Option<String>,
 }
 
@@ -166,7 +167,7 @@
         let now = Timestamp::from_millis(1_000_000);
         let node = Node {
             started_at: now.saturating_sub(Duration::from_millis(1)),
-            told_at: Some(now),
+            reported_at: Some(now),
             holders: [true; NODES],
             ..Node::default()
         };
@@ -174,12 +175,12 @@
             breakage,
             now,
             nodes: vec![node; NODES],
-            cut: 0,
+            partition: 0,
             store_reached_by: u8::MAX,
-            stored: 0,
+            stored_token: 0,
             holders: [true; NODES],
             versions: [0; NODES],
-            effective: 0,
+            promoted_token: 0,
             violation: None,
         }
     }
@@ -189,19 +190,19 @@
     }
 
     /// Whether an order has been carried out.
-    pub fn is_ordered(&self) -> bool {
-        self.effective > 0
+    pub fn is_promoted(&self) -> bool {
+        self.promoted_token > 0
     }
 
     pub fn apply(&mut self, step: &Step) {
         match *step {
-            Step::Pass(millis) => self.pass(millis),
-            Step::Cut(set) => self.cut = set,
+            Step::Advance(millis) => self.advance(millis),
+            Step::Partition(set) => self.partition = set,
             Step::StoreReachedBy(set) => self.store_reached_by = set,
-            Step::StoreTells(node) if self.reaches_store(node) => {
+            Step::StoreReports(node) if self.reaches_store(node) => {
                 self.nodes[node].unread = Some(StoreAnswer {
-                    told_at: self.now,
-                    token: self.stored,
+                    reported_at: self.now,
+                    token: self.stored_token,
                     holders: self.holders,
                     own_version: self.versions[node],
                 });
@@ -212,29 +213,29 @@
                 self.register(node, false);
             }
             Step::Decide(node) if self.reaches_store(node) => self.decide(node),
-            Step::AskYields(node) => self.ask_yields(node),
+            Step::RequestReleases(node) => self.request_releases(node),
             Step::Proceed(node) => self.proceed(node),
-            Step::CarryOut(node) => self.carry_out(node),
+            Step::CompletePromotion(node) => self.complete_promotion(node),
             Step::Restart(node, from) => self.restart(node, from),
-            Step::StoreTells(_) | Step::Register(_) | Step::Unregister(_) | Step::Decide(_) => {}
+            Step::StoreReports(_) | Step::Register(_) | Step::Unregister(_) | Step::Decide(_) => {}
         }
         self.check();
     }
 
     /// Orders do not stay under way for ever, so time does not pass beyond the longest.
-    fn pass(&mut self, millis: u64) {
+    fn advance(&mut self, millis: u64) {
         self.now = self.now + Duration::from_millis(millis);
         for node in 0..NODES {
-            let ordered = self.nodes[node].ordered;
-            let limit = Duration::from_millis(LONGEST_ORDER);
-            if ordered.is_some_and(|(_, sent_at)| self.now.since(sent_at) >= limit) {
-                self.carry_out(node);
+            let promotion = self.nodes[node].promotion;
+            let limit = Duration::from_millis(MAX_PROMOTION_MS);
+            if promotion.is_some_and(|(_, sent_at)| self.now.since(sent_at) >= limit) {
+                self.complete_promotion(node);
             }
         }
     }
 
     fn reaches(&self, one: usize, other: usize) -> bool {
-        (self.cut >> one) & 1 == (self.cut >> other) & 1
+        (self.partition >> one) & 1 == (self.partition >> other) & 1
     }
 
     fn reaches_store(&self, node: usize) -> bool {
@@ -245,13 +246,13 @@
         let Some(answer) = self.nodes[node].unread.take() else {
             return;
         };
-        let told_at = if self.breakage == Breakage::YoungNews {
+        let reported_at = if self.breakage == Breakage::LeaseFromReadTime {
             self.now
         } else {
-            answer.told_at
+            answer.reported_at
         };
         let node = &mut self.nodes[node];
-        node.told_at = node.told_at.max(Some(told_at));
+        node.reported_at = node.reported_at.max(Some(reported_at));
         node.token = node.token.max(answer.token);
         node.holders = answer.holders;
         node.own_version = answer.own_version;
@@ -265,14 +266,14 @@
         let deciding = &self.nodes[node];
         let may_decide = deciding.holds_lease(node, self.breakage, self.now)
             || self.breakage == Breakage::DecidesUnregistered;
-        if deciding.ordered.is_some() || !may_decide {
+        if deciding.promotion.is_some() || !may_decide {
             return;
         }
-        self.stored += 1;
-        let token = self.stored;
+        self.stored_token += 1;
+        let token = self.stored_token;
         // The node that decides is told of the registrations up to its decision before it orders.
         let holders = match self.breakage {
-            Breakage::OldHolders => self.nodes[node].holders,
+            Breakage::StaleHolders => self.nodes[node].holders,
             _ => self.holders,
         };
         let others = (0..NODES).filter(|other| *other != node && holders[*other]);
@@ -294,11 +295,11 @@
 
     /// Whether a node has decided and not finished.
     fn is_deciding(&self, node: usize) -> bool {
-        let is_under_way = self.nodes[node].round.is_some() || self.nodes[node].ordered.is_some();
+        let is_under_way = self.nodes[node].round.is_some() || self.nodes[node].promotion.is_some();
         is_under_way && self.breakage != Breakage::DecidesUnregistered
     }
 
-    fn ask_yields(&mut self, node: usize) {
+    fn request_releases(&mut self, node: usize) {
         let Some(mut round) = self.nodes[node].round.take() else {
             return;
         };
@@ -306,13 +307,13 @@
             if !self.reaches(node, other) {
                 continue;
             }
-            let keeps = self.breakage != Breakage::YieldsWhileOrdering;
-            if keeps && self.nodes[other].ordered.is_some() {
+            let keeps = self.breakage != Breakage::ReleasesWhilePromoting;
+            if keeps && self.nodes[other].promotion.is_some() {
                 continue;
             }
-            let yielding = &mut self.nodes[other];
-            yielding.token = yielding.token.max(round.token());
-            round.record_release(&name(other), yielding.token);
+            let releasing = &mut self.nodes[other];
+            releasing.token = releasing.token.max(round.token());
+            round.record_release(&name(other), releasing.token);
         }
         self.nodes[node].round = Some(round);
     }
@@ -332,10 +333,10 @@
         match round.state(newest, self.now) {
             RoundState::Superseded => {}
             RoundState::Promote => {
-                self.nodes[node].ordered = Some((round.token(), self.now));
+                self.nodes[node].promotion = Some((round.token(), self.now));
             }
             RoundState::Verify => {
-                let is_newest = self.stored == round.token();
+                let is_newest = self.stored_token == round.token();
                 if self.reaches_store(node) && is_newest {
                     round.record_verification(self.now);
                 }
@@ -348,24 +349,27 @@
     }
 
     /// The promotion service does not look at tokens.
-    fn carry_out(&mut self, node: usize) {
-        if let Some((token, _)) = self.nodes[node].ordered.take() {
-            if token < self.effective {
-                self.violation = Some(format!("n{node} ordered {token} after {}", self.effective));
+    fn complete_promotion(&mut self, node: usize) {
+        if let Some((token, _)) = self.nodes[node].promotion.take() {
+            if token < self.promoted_token {
+                self.violation = Some(format!(
+                    "n{node} ordered {token} after {}",
+                    self.promoted_token
+                ));
             }
-            self.effective = token;
+            self.promoted_token = token;
         }
     }
 
     /// The process ends; an order that is under way is carried out.
     fn restart(&mut self, node: usize, from: usize) {
-        self.carry_out(node);
+        self.complete_promotion(node);
         let known = (node != from && self.reaches(node, from)).then(|| self.nodes[from].clone());
         self.nodes[node] = Node {
             started_at: self.now,
             token: known.as_ref().map_or(0, |known| known.token),
             holders: known.as_ref().map_or([false; NODES], |known| known.holders),
-            told_at: known.and_then(|known| known.told_at),
+            reported_at: known.and_then(|known| known.reported_at),
             ..Node::default()
         };
     }
@@ -374,10 +378,10 @@
         for (index, node) in self.nodes.iter().enumerate() {
             let believes = node.holds_lease(index, self.breakage, self.now)
                 || self.breakage == Breakage::NoLease;
-            if believes && node.token < self.effective {
-                let effective = self.effective;
+            if believes && node.token < self.promoted_token {
+                let promoted_token = self.promoted_token;
                 let text = format!(
-                    "n{index} believes the lead of {}, not {effective}",
+                    "n{index} believes the lead of {}, not {promoted_token}",
                     node.token
                 );
                 self.violation.get_or_insert(text);
