--- a/crates/spurpier-core/tests/incarnation_model/mod.rs
+++ b/crates/spurpier-core/tests/incarnation_model/mod.rs
@@ -1,6 +1,6 @@
-//! A group of three servers that crash and start again under their names, a directory whose rows
-//! come late, twice or in any order, and one node before them that keeps a [`Roster`] and a
-//! [`LeaderView`]. The oracle knows each life's log and what was acknowledged.
+//! A model of a group of three servers that crash and restart under their names, a directory whose
+//! rows arrive late, twice or in any order, and one node that keeps a [`Roster`] and a
+//! [`LeaderView`]. The oracle knows the log of each incarnation and what was acknowledged.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,20 +18,20 @@
 
 const SERVERS: usize = 3;
 const GROUP: &str = "group";
-/// More than a refusal is remembered for, in milliseconds.
+/// Longer than a refusal is remembered, in milliseconds.
 const ADVANCE_MS: u64 = 200;
 
-/// One mechanism taken out.
+/// A mechanism that is disabled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Breakage {
     None,
-    /// Lives of a server are not told apart.
+    /// Incarnations of a server are not distinguished.
     MergedIncarnations,
-    /// What a lead shows is not held against what it showed before.
+    /// The position that a leader reports is not compared with those that it reported before.
     NoPositionCheck,
-    /// Rows count in the order in which they come.
+    /// Rows are applied in the order in which they arrive.
     NoVersions,
-    /// A server is ordered to lead although it has started again since it was chosen.
+    /// A server is promoted although it has restarted since it was chosen.
     PromotesFormerIncarnation,
 }
 
@@ -43,22 +43,22 @@
         keeps_log: bool,
         moves: bool,
     },
-    /// The server writes its row.
+    /// A server writes its row.
     Announce(usize),
-    /// Another writer puts something under the server's key.
+    /// Another writer overwrites the row of a server.
     Corrupt(usize),
     RemoveRow(usize),
-    /// One of all rows that were ever written comes, again perhaps.
+    /// One of all rows that were ever written is delivered, possibly again.
     Deliver(prop::sample::Index),
-    /// The whole table is read.
+    /// The node reads the whole table.
     ReadTable,
-    /// A replica receives what the lead has.
+    /// A replica receives the leader's log.
     Replicate(usize),
     Write,
     Read(usize),
     Decide,
     Promote,
-    /// The node starts again, and is told of the newest succession and the whole table.
+    /// The node restarts, and learns the newest succession and the whole table.
     RestartNode,
     Advance,
 }
@@ -113,12 +113,13 @@
     }
 }
 
-/// A connection of the node: to which life it believes to speak, and to which it does.
+/// A connection of the node: the incarnation that it believes to reach, and the one that it
+/// reaches.
 #[derive(Debug, Clone)]
 struct Connection {
     believed: Incarnation,
     started_ms: u64,
-    /// What the server showed when it was opened.
+    /// The position that the server reported when the connection was opened.
     shown: LeadershipProof,
 }
 
@@ -128,7 +129,7 @@
     next_write: u64,
     servers: Vec<Server>,
     term: u64,
-    /// The server that takes writes, as long as it runs.
+    /// The server that accepts writes while it runs.
     leader: usize,
     version: u64,
     table: BTreeMap<String, RosterRow>,
@@ -137,13 +138,13 @@
     view: LeaderView,
     connections: BTreeMap<usize, Connection>,
     stored: Option<Succession>,
-    /// A decision whose order has not left.
+    /// A decision whose promotion has not been sent.
     pending_promotion: Option<Succession>,
-    /// What the oracle holds the log against that is written and read.
+    /// The acknowledged writes that the oracle expects in the log.
     acknowledged: Vec<u64>,
-    /// Whether the node has had a proof since it started.
+    /// Whether the node has obtained a leadership proof since it started.
     has_proof: bool,
-    /// Which life wrote each row, by the row's version.
+    /// The start time of the incarnation that wrote each row, by the row's version.
     writers: BTreeMap<u64, u64>,
     violation: Option<String>,
 }
@@ -253,7 +254,7 @@
         self.writers.insert(self.version, started_ms);
     }
 
-    /// Whether the row that the node knows of a server is that of its present life.
+    /// Whether the row that the node knows of a server was written by its present incarnation.
     fn is_row_current(&self, server: usize) -> bool {
         let version = self.roster.version(&name(server));
         self.writers.get(&version.to_bits()) == Some(&self.servers[server].started_ms)
@@ -321,7 +322,7 @@
         }
     }
 
-    /// The server that is reached where the node believes one to stand.
+    /// The server that runs at an endpoint that the node knows.
     fn reach(&self, endpoint: &ServerEndpoint) -> Option<usize> {
         (0..SERVERS).find(|server| {
             let reached = &self.servers[*server];
@@ -331,8 +332,9 @@
         })
     }
 
-    /// A connection to a endpoint, opened if the one that there was is broken; what the server showed as
-    /// it was opened is checked before anything is sent to it as the lead.
+    /// Connects to an endpoint, over a new connection if the known one is broken. The position that
+    /// the server reported when the connection was opened is checked before anything is sent to it
+    /// as the leader.
     fn connect(&mut self, endpoint: &ServerEndpoint, as_leader: bool) -> Option<usize> {
         let server = self.reach(endpoint)?;
         let started_ms = self.servers[server].started_ms;
@@ -393,8 +395,8 @@
 
     fn run_write(&mut self, endpoint: &ServerEndpoint, server: usize) {
         if !self.has_proof && !self.is_row_current(server) {
-            // The node knows of the lead's log what that held at the decision, and nothing tells it
-            // that another life has begun.
+            // The node knows only what the leader's log held at the decision, and nothing reveals
+            // that another incarnation has started.
             let received = self.stored.as_ref().map(|stored| stored.received.offset);
             let received = usize::try_from(received.unwrap_or(0)).expect("a short log");
             self.forget_beyond(server, received);
@@ -420,8 +422,8 @@
         }
     }
 
-    /// Lets the replicas drop what disagrees with the lead's log, as the platform does: a position of
-    /// one term names one record.
+    /// Makes the replicas drop what diverges from the leader's log, as the platform does: a
+    /// position of a term identifies one record.
     fn roll_back_to(&mut self, leader: usize) {
         let leader_log = self.servers[leader].log.clone();
         for server in &mut self.servers {
@@ -433,8 +435,8 @@
         }
     }
 
-    /// Holds a server's log against what was acknowledged, as far as any log holds that: what only a
-    /// lost log held is lost, since no replica was asked to hold it.
+    /// Compares a server's log with the acknowledged writes that any log still holds. Writes that
+    /// only a lost log held are lost, since no replica was required to hold them.
     fn check_log(&mut self, server: usize, what: &str) {
         let holds = |server: &Server, write: u64| {
             let mut records = server.log.iter();
@@ -472,8 +474,8 @@
         }
     }
 
-    /// The choice of [`choose_successor`], but for a server that leads already and holds what the
-    /// lead had shown.
+    /// Chooses the successor with [`choose_successor`], unless a server leads already and its log
+    /// is not behind what it has reported as the leader.
     fn decide(&mut self) {
         let endpoints = self.endpoints();
         let received = |endpoint: &ServerEndpoint| {
@@ -512,15 +514,15 @@
         let now = self.now();
         self.view.apply_succession(&succession, now);
         if let Some(server) = self.reach(&chosen).filter(|server| *server == self.leader) {
-            // It leads already, with what it has.
+            // It leads already, with the log that it has.
             let held = self.servers[server].log.len();
             self.forget_beyond(server, held);
         }
         self.pending_promotion = Some(succession);
     }
 
-    /// What a server that takes over lacks of its first records is lost: no replica was asked to hold
-    /// it.
+    /// Drops the acknowledged writes that are not among the first records of the server that takes
+    /// over. They are lost, since no replica was required to hold them.
     fn forget_beyond(&mut self, server: usize, records: usize) {
         let log = &self.servers[server].log;
         let log = &log[..records.min(log.len())];
@@ -528,7 +530,7 @@
         self.acknowledged.retain(is_kept);
     }
 
-    /// Orders the chosen server to lead; the order names it, and not its life.
+    /// Promotes the chosen server. The promotion names the server, not its incarnation.
     fn promote(&mut self) {
         let Some(succession) = self.pending_promotion.take() else {
             return;
@@ -540,7 +542,7 @@
             return;
         }
         if listed.is_some_and(|endpoint| endpoint.incarnation.is_other_incarnation_of(successor)) {
-            self.record_violation("an order for a life that was known to be over");
+            self.record_violation("the promotion of an incarnation that was known to have ended");
         }
         let server = self.server_of(successor);
         if !self.servers[server].is_alive {
@@ -550,13 +552,14 @@
             self.leader = server;
             self.term += 1;
         }
-        // What it has received since it was chosen nobody knows until it has shown that as the lead.
+        // Nothing is known of what it has received since it was chosen until it reports that as the
+        // leader.
         let received = usize::try_from(succession.received.offset).expect("a short log");
         self.forget_beyond(server, received);
     }
 
-    /// Before the first decision a node that starts has nothing to hold the primary's log against, so
-    /// that it starts only while the primary holds what its replicas do.
+    /// Before the first decision, a node that starts has nothing to compare the primary's log with.
+    /// It therefore starts only while the primary holds all that its replicas hold.
     fn restart_node(&mut self) {
         let held_by_leader = self.servers[self.leader].position();
         let leader_is_behind = self
@@ -576,7 +579,8 @@
                 let now = self.now();
                 self.view.apply_succession(&stored, now);
             }
-            // Nothing tells which life led before: what the primary shows must be believed.
+            // Nothing reveals which incarnation led before, so the primary's position must be
+            // believed.
             None => self.acknowledged.clear(),
         }
         self.read_table();
--- a/crates/spurpier-core/tests/incarnations.rs
+++ b/crates/spurpier-core/tests/incarnations.rs
@@ -1,8 +1,9 @@
-//! Servers that start again under their names, in a model of crashes, lost logs, moved addresses
-//! and rows that come late, twice or spoiled. The oracle: no write runs on a log that lacks what was
-//! acknowledged, no read finds less than its floor, nothing is ordered for a life that is over.
+//! Servers that restart under their names, in a model of crashes, lost logs, moved addresses and
+//! rows that arrive late, twice or corrupted. The oracle checks that no write runs on a log that
+//! lacks an acknowledged write, that no read observes less than its floor, and that no incarnation
+//! is promoted that has ended.
 //!
-//! Longer rounds by hand: `PROOF_SEED=7 PROOF_CASES=20000 cargo test -p spurpier-core --test incarnations`.
+//! Longer runs: `PROOF_SEED=7 PROOF_CASES=20000 cargo test -p spurpier-core --test incarnations`.
 
 mod incarnation_model;
 mod proof;
@@ -26,7 +27,7 @@
 
 const DEFAULT_CASES: u64 = 400;
 
-/// Any step may follow any other; the world passes over those that cannot happen.
+/// Any step may follow any other; the world ignores steps that are impossible in its state.
 struct AnyStep;
 
 impl ReferenceStateMachine for AnyStep {
@@ -68,7 +69,7 @@
     fn nothing_of_a_former_incarnation_is_believed(sequential 20..160 => IncarnationModel);
 }
 
-/// Whether the oracle notices a world in which one mechanism is taken out.
+/// Whether the oracle detects that one mechanism is disabled.
 fn is_detected(breakage: Breakage) -> bool {
     let mut runner = TestRunner::new(Config {
         max_shrink_iters: 0,
@@ -135,7 +136,7 @@
     assert_eq!(joined, RosterChange::Join(first.clone()));
     let unchanged = roster.apply(row(2, RowContent::Server(first.clone())));
     assert_eq!(unchanged, RosterChange::Update(first.clone()));
-    // An earlier start is as much another one: the servers' clocks step.
+    // An earlier start time is another start too, since the clocks of servers may step.
     let second = endpoint("i-1", Some(9), 1);
     let restarted = roster.apply(row(3, RowContent::Server(second.clone())));
     assert_eq!(
--- a/crates/spurpier-core/tests/lead.rs
+++ b/crates/spurpier-core/tests/lead.rs
@@ -1,4 +1,5 @@
-//! Evidence of lead, the choice of servers, and who decides on a new primary.
+//! Leadership proofs, read routing, failover decisions, the promotion lease and the ranking of
+//! homes.
 
 use std::time::Duration;
 
@@ -93,7 +94,7 @@
     assert_eq!(
         floor(own(7, 90)),
         Some(Position::new(1, 5)),
-        "a later proof stands for the commit, also if the commit was dropped since"
+        "a later proof covers the commit, also if the commit was dropped since"
     );
 }
 
@@ -280,7 +281,7 @@
     );
 }
 
-/// In a cut that leaves the primary with some nodes, those go on with it under their leases.
+/// In a partition that leaves the primary with some nodes, those go on using it under their leases.
 #[test]
 fn a_primary_that_unreachable_nodes_may_use_is_kept_longer() {
     let mut partitioned = missing(vec![observation(None)]);
@@ -314,7 +315,11 @@
     let equal = [placed(5, 1), placed(5, 9), placed(5, 2)];
     assert_eq!(choose_successor(&equal, 0), Some(1));
     let ahead = [placed(5, 9), placed(6, 0)];
-    assert_eq!(choose_successor(&ahead, 0), Some(1), "nothing is lost");
+    assert_eq!(
+        choose_successor(&ahead, 0),
+        Some(1),
+        "the most advanced replica takes over whatever its score, so that nothing is lost"
+    );
 }
 
 #[test]
@@ -372,8 +377,9 @@
     assert_eq!(step(&holder_status, 1_950), PromotionStep::Decide);
 }
 
-/// Found on a day with a crashed primary: the node had been answered and had then been busy asking
-/// the other nodes for longer than the holder's patience.
+/// Guards against a takeover of the lease from a holder that answers. After a primary had crashed,
+/// a node was answered by the holder and then spent longer than the holder's response timeout
+/// asking the other nodes.
 #[test]
 fn time_without_a_request_does_not_count_against_the_holder() {
     let row = row_of("a");
@@ -455,27 +461,24 @@
     for group in 0..1_300 {
         first_of[rank_homes(&format!("group-{group}"), &all)[0]] += 1;
     }
-    // 4 of 13 parts are 400 groups, 1 of 13 is 100; the standard deviation is 17 and 10.
+    // The expected counts are 400 (4 of 13 shares) and 100 (1 of 13); the standard deviations are
+    // 17 and 10.
     assert!((330..=470).contains(&first_of[0]), "{first_of:?}");
     assert!(first_of[1..].iter().all(|count| (60..=140).contains(count)));
 }
 
 #[test]
 fn every_node_is_a_home_if_connections_suffice() {
-    assert_eq!(homes_per_zone(32, 7, 3), 7, "at most all of a zone");
+    assert_eq!(homes_per_zone(32, 7, 3), 7, "all nodes of a zone");
     assert_eq!(homes_per_zone(32, 10, 3), 10);
     assert_eq!(homes_per_zone(36, 73, 6), 1);
     assert_eq!(homes_per_zone(100, 73, 6), 2);
     assert_eq!(homes_per_zone(1, 73, 6), 1, "at least one");
-    assert_eq!(
-        homes_per_zone(771, 295, 6),
-        2,
-        "no more than the work needs"
-    );
+    assert_eq!(homes_per_zone(771, 295, 6), 2, "no more than the maximum");
     assert_eq!(
         homes_per_zone(771, 23, 6),
         2,
-        "also where connections go round"
+        "also if connections suffice for every node"
     );
 }
 
--- a/crates/spurpier-core/tests/lease.rs
+++ b/crates/spurpier-core/tests/lease.rs
@@ -1,7 +1,8 @@
-//! Leases to use a lead, and the rounds that wait for them, in a model with cuts, pauses, restarts
-//! and late answers. The oracle: nobody believes a server that another one has replaced.
+//! Leader leases, and the rounds that wait for their release, in a model with partitions, delays,
+//! restarts and late answers. The oracle checks that no node believes a server that another one has
+//! replaced.
 //!
-//! Longer rounds by hand: `PROOF_SEED=7 PROOF_CASES=20000 cargo test -p spurpier-core --test lease`.
+//! Longer runs: `PROOF_SEED=7 PROOF_CASES=20000 cargo test -p spurpier-core --test lease`.
 
 mod lease_model;
 mod proof;
@@ -21,7 +22,7 @@
 
 const DEFAULT_CASES: u64 = 400;
 
-/// Any step may follow any other; the world passes over those that cannot happen.
+/// Any step may follow any other; the world ignores steps that are impossible in its state.
 struct AnyStep;
 
 impl ReferenceStateMachine for AnyStep {
@@ -63,7 +64,7 @@
     fn no_node_believes_a_replaced_primary(sequential 20..160 => LeaseModel);
 }
 
-/// Whether the oracle notices a world in which one mechanism is taken out.
+/// Whether the oracle detects that one mechanism is disabled.
 fn is_detected(breakage: Breakage) -> bool {
     let mut runner = TestRunner::new(Config {
         max_shrink_iters: 0,
@@ -88,8 +89,8 @@
     }
 }
 
-/// Too rare a sequence for random steps: a node yields, starts again, and is told the table by
-/// another one, which does not know what it has yielded to and yields later.
+/// A sequence too rare for random steps: a node releases its lease, restarts, and copies the table
+/// from another node, which does not yet know the succession and releases its own lease later.
 #[test]
 fn a_restarted_node_uses_no_leader_before_the_store_reports_to_it() {
     const DECIDING: usize = 0;
@@ -110,14 +111,15 @@
     let run = |breakage| {
         let mut world = World::new(breakage);
         steps.iter().for_each(|step| world.apply(step));
-        assert!(world.is_promoted(), "the steps lead to an order");
+        assert!(world.is_promoted(), "the steps lead to a promotion");
         world.violation().is_some()
     };
     assert!(!run(Breakage::None));
     assert!(run(Breakage::LeaseFromPeer));
 }
 
-/// Too rare a sequence as well: a node registers anew after the deciding node has read the list.
+/// Another sequence too rare for random steps: a node registers again after the deciding node has
+/// read the list.
 #[test]
 fn a_decision_waits_for_a_node_that_has_just_registered() {
     const DECIDING: usize = 0;
--- a/crates/spurpier-core/tests/lease_model/mod.rs
+++ b/crates/spurpier-core/tests/lease_model/mod.rs
@@ -1,4 +1,5 @@
-//! Nodes that register for a lease, use a lead, decide and order, over a store and links that fail.
+//! A model of nodes that register for the leader lease, use a leader, decide and promote, with a
+//! store and links that fail.
 
 use std::time::Duration;
 
@@ -6,37 +7,38 @@
 use spurpier_core::leader::{LeaseReleaseRound, RoundState, holds_leader_lease};
 use spurpier_core::time::Timestamp;
 
-/// How many nodes there are.
+/// The number of nodes.
 const NODES: usize = 3;
-/// How long an order that is under way may take to be carried out.
+/// How long a promotion in flight may take to be carried out, in milliseconds.
 const MAX_PROMOTION_MS: u64 = 1_500;
 
-/// A mechanism that is taken out.
+/// A mechanism that is disabled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Breakage {
     None,
     /// Answers are believed without a lease.
     NoLease,
-    /// The successor is ordered without waiting for anybody.
+    /// The successor is promoted without waiting for any node.
     NoWait,
-    /// A decision is ordered without a look whether there is a newer one.
+    /// The successor is promoted without a check for a newer decision.
     NoVerification,
-    /// What another node tells at a start gives a lease.
+    /// A node that starts takes the lease from the report that another node copies to it.
     LeaseFromPeer,
-    /// A node yields while its own order is under way.
+    /// A node releases its lease while its own promotion is in flight.
     ReleasesWhilePromoting,
-    /// The moment of what the store told is taken from when it was read.
+    /// A report of the store counts from when it was read, not from when the store sent it.
     LeaseFromReadTime,
-    /// A node that takes its registration back uses the lead on.
+    /// A node that removes its registration goes on using the leader.
     UsesUnregistered,
-    /// A decision waits for the nodes that were registered when its node last read the store.
+    /// A decision waits only for the nodes that were registered when its node last read the store.
     StaleHolders,
-    /// A node decides that is not registered, so that a newer decision does not wait for its order.
+    /// A node decides without being registered, so that a newer decision does not wait for its
+    /// promotion.
     DecidesUnregistered,
 }
 
 impl Breakage {
-    /// Those that random steps find.
+    /// Those that random steps detect.
     pub const COMMON: [Breakage; 7] = [
         Breakage::NoLease,
         Breakage::NoWait,
@@ -48,14 +50,15 @@
     ];
 }
 
-/// What happens next.
+/// What happens next in the world.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
-    /// Time passes.
+    /// Time passes, in milliseconds.
     Advance(u64),
-    /// The nodes of a set and the others no longer reach each other; an empty set heals it.
+    /// The nodes of a set (a bit each) and the others no longer reach each other; an empty set
+    /// heals the partition.
     Partition(u8),
-    /// Which nodes reach the store.
+    /// Which nodes reach the store, a bit each.
     StoreReachedBy(u8),
     /// The store answers a node, which reads the answer later.
     StoreReports(usize),
@@ -63,17 +66,17 @@
     ReadStore(usize),
     /// A node registers, so that it may hold the lease.
     Register(usize),
-    /// A node takes its registration back.
+    /// A node removes its registration.
     Unregister(usize),
     /// A node decides.
     Decide(usize),
-    /// A node asks all that it awaits to yield.
+    /// A deciding node asks the others to release their leases.
     RequestReleases(usize),
-    /// A node does what its round says.
+    /// A deciding node does what its round requires.
     Proceed(usize),
-    /// An order that is under way is carried out and answered.
+    /// A promotion in flight is carried out and answered.
     CompletePromotion(usize),
-    /// A node starts again, and takes what another one knows if it reaches that one.
+    /// The first node restarts, and copies what the second one knows if it reaches that one.
     Restart(usize, usize),
 }
 
@@ -98,24 +101,24 @@
 #[derive(Debug, Clone, Default)]
 struct Node {
     started_at: Timestamp,
-    /// The newest succession that it knows; its token stands for the server that it names.
+    /// The token of the newest succession that it knows; it represents the named server.
     token: u64,
     reported_at: Option<Timestamp>,
-    /// Which nodes are registered, as the store told it last.
+    /// Which nodes are registered, as the store last reported.
     holders: [bool; NODES],
-    /// Its writes of its own registration that are not known to be over: the version that each
-    /// replaces, and whether it registers.
+    /// Writes of its own registration that may still take effect: the version that each replaces,
+    /// and whether it registers.
     own_writes: Vec<(u64, bool)>,
-    /// The version of its own registration, as the store told it last.
+    /// The version of its own registration, as the store last reported.
     own_version: u64,
-    /// What the store has answered.
+    /// An answer of the store that it has not read yet.
     unread: Option<StoreAnswer>,
     round: Option<LeaseReleaseRound>,
-    /// An order that is under way: its token, and when it left.
+    /// A promotion in flight: its token, and when it was sent.
     promotion: Option<(u64, Timestamp)>,
 }
 
-/// What the store holds, and when it told that.
+/// What the store contained, and when it sent that.
 #[derive(Debug, Clone, Copy)]
 struct StoreAnswer {
     reported_at: Timestamp,
@@ -153,7 +156,7 @@
     holders: [bool; NODES],
     /// The versions of their registrations.
     versions: [u64; NODES],
-    /// The token by whose order the present lead was promoted.
+    /// The token with which the present leader was promoted.
     promoted_token: u64,
     violation: Option<String>,
 }
@@ -189,7 +192,7 @@
         self.violation.as_deref()
     }
 
-    /// Whether an order has been carried out.
+    /// Whether a promotion has been carried out.
     pub fn is_promoted(&self) -> bool {
         self.promoted_token > 0
     }
@@ -222,7 +225,7 @@
         self.check();
     }
 
-    /// Orders do not stay under way for ever, so time does not pass beyond the longest.
+    /// Promotions do not stay in flight forever: those that reach the limit are carried out.
     fn advance(&mut self, millis: u64) {
         self.now = self.now + Duration::from_millis(millis);
         for node in 0..NODES {
@@ -261,7 +264,8 @@
             .retain(|(replaced, _)| *replaced >= own_version);
     }
 
-    /// The decision is stored under the condition that it is the next one, and acknowledged at once.
+    /// The decision is stored on the condition that it is the next one, and acknowledged
+    /// immediately.
     fn decide(&mut self, node: usize) {
         let deciding = &self.nodes[node];
         let may_decide = deciding.holds_lease(node, self.breakage, self.now)
@@ -271,7 +275,7 @@
         }
         self.stored_token += 1;
         let token = self.stored_token;
-        // The node that decides is told of the registrations up to its decision before it orders.
+        // The deciding node learns of the registrations up to its decision before it promotes.
         let holders = match self.breakage {
             Breakage::StaleHolders => self.nodes[node].holders,
             _ => self.holders,
@@ -283,7 +287,8 @@
         self.nodes[node].round = Some(round);
     }
 
-    /// Writes a node's registration, if it is known as it stands in the store.
+    /// Writes a node's registration, on the condition that the version known to the node is the
+    /// stored one.
     fn register(&mut self, node: usize, registers: bool) {
         let writing = &mut self.nodes[node];
         writing.own_writes.push((writing.own_version, registers));
@@ -293,7 +298,7 @@
         }
     }
 
-    /// Whether a node has decided and not finished.
+    /// Whether a node has decided and has not finished.
     fn is_deciding(&self, node: usize) -> bool {
         let is_under_way = self.nodes[node].round.is_some() || self.nodes[node].promotion.is_some();
         is_under_way && self.breakage != Breakage::DecidesUnregistered
@@ -348,12 +353,12 @@
         }
     }
 
-    /// The promotion service does not look at tokens.
+    /// The promotion service does not check tokens.
     fn complete_promotion(&mut self, node: usize) {
         if let Some((token, _)) = self.nodes[node].promotion.take() {
             if token < self.promoted_token {
                 self.violation = Some(format!(
-                    "n{node} ordered {token} after {}",
+                    "n{node} promoted {token} after {}",
                     self.promoted_token
                 ));
             }
@@ -361,7 +366,7 @@
         }
     }
 
-    /// The process ends; an order that is under way is carried out.
+    /// The process ends; its promotion in flight is carried out.
     fn restart(&mut self, node: usize, from: usize) {
         self.complete_promotion(node);
         let known = (node != from && self.reaches(node, from)).then(|| self.nodes[from].clone());
@@ -381,7 +386,7 @@
             if believes && node.token < self.promoted_token {
                 let promoted_token = self.promoted_token;
                 let text = format!(
-                    "n{index} believes the lead of {}, not {promoted_token}",
+                    "n{index} believes the leader of {}, not {promoted_token}",
                     node.token
                 );
                 self.violation.get_or_insert(text);
