--- a/crates/spurpier-core/src/shares/allocation.rs
+++ b/crates/spurpier-core/src/shares/allocation.rs
@@ -4,24 +4,24 @@
 ///
 /// No holder gets more than it wants, and none gets less than another unless it wants less. What
 /// cannot be divided evenly goes to the earlier holders.
-pub fn max_min_shares(limit: u32, wants: &[u32]) -> Vec<u32> {
-    let mut order: Vec<usize> = (0..wants.len()).collect();
-    order.sort_by_key(|index| wants[*index]);
-    let mut shares = vec![0; wants.len()];
-    let mut left = limit;
+pub fn max_min_fair_shares(limit: u32, demands: &[u32]) -> Vec<u32> {
+    let mut order: Vec<usize> = (0..demands.len()).collect();
+    order.sort_by_key(|index| demands[*index]);
+    let mut shares = vec![0; demands.len()];
+    let mut unassigned = limit;
     for (position, index) in order.iter().enumerate() {
         let remaining = (order.len() - position) as u32;
-        let even = left.div_ceil(remaining);
-        let share = wants[*index].min(even);
+        let even_share = unassigned.div_ceil(remaining);
+        let share = demands[*index].min(even_share);
         shares[*index] = share;
-        left -= share;
+        unassigned -= share;
     }
     shares
 }
 
 /// What one holder needs and would like to have.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Want {
+pub struct ShareDemand {
     /// What its mean demand fills.
     pub needed: u32,
     /// What its peaks of demand would fill; at least `needed`.
@@ -29,19 +29,19 @@
 }
 
 /// Divides `limit` in two rounds: first by need, then what is left by the further wants.
-pub fn two_round_shares(limit: u32, wants: &[Want]) -> Vec<u32> {
-    let needs: Vec<u32> = wants.iter().map(|want| want.needed).collect();
-    let first = max_min_shares(limit, &needs);
-    let left = limit - first.iter().sum::<u32>();
-    let further: Vec<u32> = wants
+pub fn needs_first_shares(limit: u32, demands: &[ShareDemand]) -> Vec<u32> {
+    let needs: Vec<u32> = demands.iter().map(|demand| demand.needed).collect();
+    let need_shares = max_min_fair_shares(limit, &needs);
+    let unassigned = limit - need_shares.iter().sum::<u32>();
+    let extra_demands: Vec<u32> = demands
         .iter()
-        .zip(&first)
-        .map(|(want, share)| want.wanted.saturating_sub(*share))
+        .zip(&need_shares)
+        .map(|(demand, share)| demand.wanted.saturating_sub(*share))
         .collect();
-    let second = max_min_shares(left, &further);
-    first
+    let extra_shares = max_min_fair_shares(unassigned, &extra_demands);
+    need_shares
         .iter()
-        .zip(second)
-        .map(|(one, two)| one + two)
+        .zip(extra_shares)
+        .map(|(need, extra)| need + extra)
         .collect()
 }
--- a/crates/spurpier-core/src/shares/holder.rs
+++ b/crates/spurpier-core/src/shares/holder.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
+use super::config::ShareConfig;
 use super::message::{ShareGrant, ShareMessage, ShareReport};
-use super::settings::ShareTuning;
 use crate::membership::NodeKey;
 use crate::time::Timestamp;
 
@@ -13,7 +13,7 @@
     /// The time of [`ShareHolder::next_deadline`] has come (or any other time).
     Tick,
     /// The node that keeps the ledger, as this node sees the members.
-    LedgerIs(Option<NodeKey>),
+    LedgerNode(Option<NodeKey>),
     /// The state of the pool has changed.
     Demand {
         /// Open connections, those being opened included.
@@ -47,7 +47,7 @@
 /// The last report and what became of it.
 #[derive(Debug, Clone, Copy)]
 struct SentReport {
-    number: u64,
+    sequence: u64,
     to: NodeKey,
     sent_at: Timestamp,
 }
@@ -55,44 +55,44 @@
 /// One home's share of one database's connections.
 #[derive(Debug, Clone)]
 pub struct ShareHolder {
-    tuning: Arc<ShareTuning>,
+    config: Arc<ShareConfig>,
     ledger: Option<NodeKey>,
     epoch: u64,
     allowance: u32,
-    lease_until: Timestamp,
+    lease_expires_at: Timestamp,
     open: u32,
     demand: u32,
     mean_demand: f64,
-    demand_noted_at: Timestamp,
+    mean_updated_at: Timestamp,
     peak_demand: u32,
     peak_at: Timestamp,
-    last_number: u64,
+    last_sequence: u64,
     last_report: Option<SentReport>,
     /// Whether the last report was answered.
-    answered: bool,
-    report_at: Timestamp,
+    is_answered: bool,
+    next_report_at: Timestamp,
     actions: Vec<HolderAction>,
 }
 
 impl ShareHolder {
     /// A home without allowance.
-    pub fn new(now: Timestamp, tuning: Arc<ShareTuning>) -> Self {
+    pub fn new(now: Timestamp, config: Arc<ShareConfig>) -> Self {
         ShareHolder {
-            tuning,
+            config,
             ledger: None,
             epoch: 0,
             allowance: 0,
-            lease_until: now,
+            lease_expires_at: now,
             open: 0,
             demand: 0,
             mean_demand: 0.0,
-            demand_noted_at: now,
+            mean_updated_at: now,
             peak_demand: 0,
             peak_at: now,
-            last_number: 0,
+            last_sequence: 0,
             last_report: None,
-            answered: false,
-            report_at: now,
+            is_answered: false,
+            next_report_at: now,
             actions: Vec::new(),
         }
     }
@@ -101,7 +101,7 @@
     ///
     /// Ask at the very moment of opening a connection: the lease may have run out unseen.
     pub fn allowance(&self, now: Timestamp) -> u32 {
-        match now < self.lease_until {
+        match now < self.lease_expires_at {
             true => self.allowance,
             false => 0,
         }
@@ -110,26 +110,26 @@
     /// When [`HolderEvent::Tick`] is due at the latest.
     pub fn next_deadline(&self) -> Timestamp {
         match self.allowance {
-            0 => self.report_at,
-            _ => self.report_at.min(self.lease_until),
+            0 => self.next_report_at,
+            _ => self.next_report_at.min(self.lease_expires_at),
         }
     }
 
     /// Takes an event at time `now` and gives what is to be done.
     pub fn handle(&mut self, now: Timestamp, event: HolderEvent) -> Vec<HolderAction> {
-        self.notice_lapse(now);
+        self.expire_lease(now);
         match event {
             HolderEvent::Tick => {}
-            HolderEvent::LedgerIs(ledger) => self.follow(now, ledger),
-            HolderEvent::Demand { open, demand } => self.note_demand(now, open, demand),
-            HolderEvent::Received { from, message } => self.received(now, from, message),
+            HolderEvent::LedgerNode(ledger) => self.set_ledger(now, ledger),
+            HolderEvent::Demand { open, demand } => self.update_demand(now, open, demand),
+            HolderEvent::Received { from, message } => self.handle_message(now, from, message),
         }
-        self.report_when_due(now);
+        self.send_report_if_due(now);
         std::mem::take(&mut self.actions)
     }
 
-    fn notice_lapse(&mut self, now: Timestamp) {
-        if self.allowance > 0 && now >= self.lease_until {
+    fn expire_lease(&mut self, now: Timestamp) {
+        if self.allowance > 0 && now >= self.lease_expires_at {
             self.set_allowance(0);
         }
     }
@@ -141,20 +141,20 @@
         }
     }
 
-    fn follow(&mut self, now: Timestamp, ledger: Option<NodeKey>) {
+    fn set_ledger(&mut self, now: Timestamp, ledger: Option<NodeKey>) {
         if self.ledger != ledger {
             self.ledger = ledger;
-            self.report_at = now;
+            self.next_report_at = now;
         }
     }
 
-    fn note_demand(&mut self, now: Timestamp, open: u32, demand: u32) {
+    fn update_demand(&mut self, now: Timestamp, open: u32, demand: u32) {
         let closed_surplus = self.open > self.allowance && open < self.open;
         self.update_mean(now);
         self.open = open;
         self.demand = demand;
-        let forgotten = now.since(self.peak_at) >= self.tuning.demand_memory;
-        if demand >= self.peak_demand || forgotten {
+        let is_peak_expired = now.since(self.peak_at) >= self.config.peak_retention;
+        if demand >= self.peak_demand || is_peak_expired {
             self.peak_demand = demand;
             self.peak_at = now;
         }
@@ -163,16 +163,18 @@
         if closed_surplus || needs_more {
             self.report_soon(now);
         } else if self.wanted() * 2 < self.allowance {
-            self.report_at = self.report_at.min(now + self.tuning.surplus_delay);
+            self.next_report_at = self
+                .next_report_at
+                .min(now + self.config.surplus_report_delay);
         }
     }
 
     /// Brings the exponentially weighted mean of the demand up to `now`.
     fn update_mean(&mut self, now: Timestamp) {
-        let passed = now.since(self.demand_noted_at).as_secs_f64();
-        let kept = (-passed / self.tuning.demand_mean.as_secs_f64()).exp();
-        self.mean_demand = self.mean_demand * kept + f64::from(self.demand) * (1.0 - kept);
-        self.demand_noted_at = now;
+        let elapsed = now.since(self.mean_updated_at).as_secs_f64();
+        let decay = (-elapsed / self.config.demand_time_constant.as_secs_f64()).exp();
+        self.mean_demand = self.mean_demand * decay + f64::from(self.demand) * (1.0 - decay);
+        self.mean_updated_at = now;
     }
 
     /// The connections that the mean demand fills; one is always needed.
@@ -181,7 +183,7 @@
     }
 
     fn wanted(&self) -> u32 {
-        let peak = self.peak_demand.max(self.demand) + self.tuning.spare;
+        let peak = self.peak_demand.max(self.demand) + self.config.spare_connections;
         peak.max(self.needed())
     }
 
@@ -189,32 +191,32 @@
     fn report_soon(&mut self, now: Timestamp) {
         let earliest = self
             .last_report
-            .map_or(now, |last| last.sent_at + self.tuning.report_spacing);
-        self.report_at = self.report_at.min(earliest.max(now));
+            .map_or(now, |last| last.sent_at + self.config.min_report_interval);
+        self.next_report_at = self.next_report_at.min(earliest.max(now));
     }
 
-    fn report_when_due(&mut self, now: Timestamp) {
-        if now < self.report_at {
+    fn send_report_if_due(&mut self, now: Timestamp) {
+        if now < self.next_report_at {
             return;
         }
-        self.report_at = now + self.tuning.report_interval;
+        self.next_report_at = now + self.config.report_interval;
         let Some(to) = self.ledger else {
             return;
         };
-        if now.since(self.peak_at) >= self.tuning.demand_memory {
+        if now.since(self.peak_at) >= self.config.peak_retention {
             self.peak_demand = self.demand;
             self.peak_at = now;
         }
         self.update_mean(now);
-        self.last_number += 1;
-        self.answered = false;
+        self.last_sequence += 1;
+        self.is_answered = false;
         self.last_report = Some(SentReport {
-            number: self.last_number,
+            sequence: self.last_sequence,
             to,
             sent_at: now,
         });
         let report = ShareReport {
-            number: self.last_number,
+            sequence: self.last_sequence,
             epoch: self.epoch,
             held: self.allowance(now).max(self.open),
             leased: self.allowance(now),
@@ -225,36 +227,37 @@
         self.actions.push(HolderAction::Send { to, message });
     }
 
-    fn received(&mut self, now: Timestamp, from: NodeKey, message: ShareMessage) {
+    fn handle_message(&mut self, now: Timestamp, from: NodeKey, message: ShareMessage) {
         match message {
-            ShareMessage::Grant(grant) => self.granted(now, from, grant),
-            ShareMessage::AskReport { epoch } if epoch >= self.epoch => self.report_soon(now),
-            ShareMessage::AskReport { .. } | ShareMessage::Report(_) => {}
+            ShareMessage::Grant(grant) => self.handle_grant(now, from, grant),
+            ShareMessage::RequestReport { epoch } if epoch >= self.epoch => self.report_soon(now),
+            ShareMessage::RequestReport { .. } | ShareMessage::Report(_) => {}
         }
     }
 
-    fn granted(&mut self, now: Timestamp, from: NodeKey, grant: ShareGrant) {
+    fn handle_grant(&mut self, now: Timestamp, from: NodeKey, grant: ShareGrant) {
         let Some(report) = self.last_report else {
             return;
         };
-        let answers_last = report.number == grant.number && report.to == from && !self.answered;
-        if !answers_last || grant.epoch < self.epoch {
+        let answers_last_report =
+            report.sequence == grant.sequence && report.to == from && !self.is_answered;
+        if !answers_last_report || grant.epoch < self.epoch {
             return;
         }
-        let lease_until = report.sent_at + self.tuning.lease;
-        if now >= lease_until {
+        let lease_expires_at = report.sent_at + self.config.lease_duration;
+        if now >= lease_expires_at {
             return;
         }
-        let new_epoch = grant.epoch > self.epoch;
-        let shrinks = grant.amount < self.allowance;
+        let is_new_epoch = grant.epoch > self.epoch;
+        let is_reduced = grant.amount < self.allowance;
         self.epoch = grant.epoch;
-        self.lease_until = lease_until;
+        self.lease_expires_at = lease_expires_at;
         self.set_allowance(grant.amount);
-        if new_epoch || shrinks {
+        if is_new_epoch || is_reduced {
             // Only a report under the new epoch, or of the smaller holding, lets the ledger use
             // what this home holds or has given up.
             self.report_soon(now);
         }
-        self.answered = true;
+        self.is_answered = true;
     }
 }
--- a/crates/spurpier-core/src/shares/ledger.rs
+++ b/crates/spurpier-core/src/shares/ledger.rs
@@ -10,9 +10,9 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use super::allocation::{Want, two_round_shares};
+use super::allocation::{ShareDemand, needs_first_shares};
+use super::config::ShareConfig;
 use super::message::{ShareGrant, ShareMessage, ShareReport};
-use super::settings::ShareTuning;
 use crate::membership::NodeKey;
 use crate::time::Timestamp;
 
@@ -22,14 +22,14 @@
     /// Time has passed.
     Tick,
     /// The epoch was claimed in the database, confirmed by a majority of its servers.
-    Claimed {
+    EpochClaimed {
         /// The epoch.
         epoch: u64,
         /// When the claim was sent.
         asked_at: Timestamp,
     },
     /// The database's primary showed this epoch to a question sent at `asked_at`.
-    Checked {
+    EpochObserved {
         /// The epoch in force.
         epoch: u64,
         /// When the question was sent.
@@ -59,22 +59,22 @@
 /// A home as the ledger counts it.
 #[derive(Debug, Clone, Copy)]
 struct Holder {
-    last_number: u64,
+    last_sequence: u64,
     /// The most that the home may hold, whichever messages arrived.
     outstanding: u32,
-    want: Want,
+    demand: ShareDemand,
     /// The share that the home should have.
     target: u32,
     granted_at: Timestamp,
     /// Whether it has reported under this ledger's epoch.
-    follows: bool,
-    asked: bool,
+    has_joined: bool,
+    report_requested: bool,
 }
 
 /// The ledger of one database's connections.
 #[derive(Debug, Clone)]
 pub struct ShareLedger {
-    tuning: Arc<ShareTuning>,
+    config: Arc<ShareConfig>,
     limit: u32,
     epoch: u64,
     /// Grants are made before this time only.
@@ -89,9 +89,9 @@
 
 impl ShareLedger {
     /// A ledger that has claimed no epoch yet and grants nothing.
-    pub fn new(limit: u32, tuning: Arc<ShareTuning>) -> Self {
+    pub fn new(limit: u32, config: Arc<ShareConfig>) -> Self {
         ShareLedger {
-            tuning,
+            config,
             limit,
             epoch: 0,
             valid_until: Timestamp::ZERO,
@@ -114,115 +114,115 @@
 
     /// Takes an event at time `now` and gives what is to be done.
     pub fn handle(&mut self, now: Timestamp, event: LedgerEvent) -> Vec<LedgerAction> {
-        self.forget_silent(now);
+        self.remove_expired_holders(now);
         match event {
             LedgerEvent::Tick => {}
-            LedgerEvent::Claimed { epoch, asked_at } => self.claimed(now, epoch, asked_at),
-            LedgerEvent::Checked { epoch, asked_at } => self.checked(epoch, asked_at),
-            LedgerEvent::Received { from, report } => self.received(now, from, report),
+            LedgerEvent::EpochClaimed { epoch, asked_at } => self.start_epoch(now, epoch, asked_at),
+            LedgerEvent::EpochObserved { epoch, asked_at } => self.check_epoch(epoch, asked_at),
+            LedgerEvent::Received { from, report } => self.handle_report(now, from, report),
         }
         std::mem::take(&mut self.actions)
     }
 
-    fn claimed(&mut self, now: Timestamp, epoch: u64, asked_at: Timestamp) {
+    fn start_epoch(&mut self, now: Timestamp, epoch: u64, asked_at: Timestamp) {
         if epoch <= self.epoch {
             return;
         }
         self.epoch = epoch;
-        self.valid_until = asked_at + self.tuning.ledger_lease;
-        self.takeover_until = now + self.tuning.takeover_wait();
+        self.valid_until = asked_at + self.config.ledger_lease;
+        self.takeover_until = now + self.config.takeover_delay();
         self.taken_over = 0;
         self.holders.clear();
     }
 
-    fn checked(&mut self, epoch: u64, asked_at: Timestamp) {
+    fn check_epoch(&mut self, epoch: u64, asked_at: Timestamp) {
         if epoch == self.epoch {
-            let until = asked_at + self.tuning.ledger_lease;
-            self.valid_until = self.valid_until.max(until);
+            let valid_until = asked_at + self.config.ledger_lease;
+            self.valid_until = self.valid_until.max(valid_until);
         } else if epoch > self.epoch {
             self.valid_until = Timestamp::ZERO;
         }
     }
 
     /// Forgets homes whose last grant must have run out, and lets their share be given anew.
-    fn forget_silent(&mut self, now: Timestamp) {
-        let wait = self.tuning.holder_wait();
+    fn remove_expired_holders(&mut self, now: Timestamp) {
+        let holder_expiry = self.config.holder_expiry();
         self.holders
-            .retain(|_, holder| now.since(holder.granted_at) < wait);
+            .retain(|_, holder| now.since(holder.granted_at) < holder_expiry);
     }
 
-    fn received(&mut self, now: Timestamp, from: NodeKey, report: ShareReport) {
+    fn handle_report(&mut self, now: Timestamp, from: NodeKey, report: ShareReport) {
         let in_force = self.epoch > 0 && now < self.valid_until && report.epoch <= self.epoch;
         if !in_force {
             return;
         }
         let known = self.holders.get(&from);
-        if known.is_some_and(|holder| holder.last_number >= report.number) {
+        if known.is_some_and(|holder| holder.last_sequence >= report.sequence) {
             return;
         }
-        let followed = known.is_some_and(|holder| holder.follows);
-        let follows = followed || report.epoch == self.epoch;
-        if follows && !followed {
+        let had_joined = known.is_some_and(|holder| holder.has_joined);
+        let has_joined = had_joined || report.epoch == self.epoch;
+        if has_joined && !had_joined {
             self.taken_over += report.leased;
         }
         let holder = Holder {
-            last_number: report.number,
+            last_sequence: report.sequence,
             // The report shows that no earlier grant can be taken any more.
             outstanding: report.held,
-            want: Want {
+            demand: ShareDemand {
                 needed: report.needed,
                 wanted: report.wanted,
             },
             target: known.map_or(report.held, |holder| holder.target),
             granted_at: now,
-            follows,
-            asked: false,
+            has_joined,
+            report_requested: false,
         };
         self.holders.insert(from, holder);
         self.set_targets();
         self.grant(now, from, report);
-        self.ask_others(now, from);
+        self.request_reports(now, from);
     }
 
     fn set_targets(&mut self) {
-        let wants: Vec<Want> = self.holders.values().map(|holder| holder.want).collect();
-        let targets = two_round_shares(self.limit, &wants);
+        let demands: Vec<ShareDemand> = self.holders.values().map(|holder| holder.demand).collect();
+        let targets = needs_first_shares(self.limit, &demands);
         for (holder, target) in self.holders.values_mut().zip(targets) {
             holder.target = target;
         }
     }
 
     /// Connections that can be given out, whatever became of all messages under way.
-    fn free(&self, now: Timestamp) -> u32 {
+    fn available(&self, now: Timestamp) -> u32 {
         if now >= self.takeover_until {
             return self.limit.saturating_sub(self.outstanding());
         }
         let held: u32 = self
             .holders
             .values()
-            .filter(|holder| holder.follows)
+            .filter(|holder| holder.has_joined)
             .map(|holder| holder.outstanding)
             .sum();
         self.taken_over.saturating_sub(held)
     }
 
     fn grant(&mut self, now: Timestamp, to: NodeKey, report: ShareReport) {
-        let free = self.free(now);
-        let counted = self.outstanding();
+        let available = self.available(now);
+        let outstanding = self.outstanding();
         let Some(holder) = self.holders.get_mut(&to) else {
             return;
         };
-        let amount = match holder.follows {
-            true => holder.target.min(report.held + free),
+        let amount = match holder.has_joined {
+            true => holder.target.min(report.held + available),
             // What an earlier ledger still counts for it; more may have gone to others.
             false => report.leased,
         };
         // A home that was forgotten and comes back may report what others have got since.
-        let left_by_others = self.limit.saturating_sub(counted - holder.outstanding);
-        let amount = amount.min(left_by_others);
+        let not_held_by_others = self.limit.saturating_sub(outstanding - holder.outstanding);
+        let amount = amount.min(not_held_by_others);
         holder.outstanding = report.held.max(amount);
         let grant = ShareGrant {
-            number: report.number,
+            sequence: report.sequence,
             epoch: self.epoch,
             amount,
         };
@@ -232,22 +232,22 @@
 
     /// Where a home lacks what it needs: asks it to report once connections are free, and until
     /// then those that hold more than their share.
-    fn ask_others(&mut self, now: Timestamp, reporter: NodeKey) {
-        let free = self.free(now);
-        let any_short = self.holders.values().any(Holder::is_short);
-        if !any_short {
+    fn request_reports(&mut self, now: Timestamp, reporter: NodeKey) {
+        let available = self.available(now);
+        let any_below_need = self.holders.values().any(Holder::is_below_need);
+        if !any_below_need {
             return;
         }
         for (key, holder) in &mut self.holders {
-            let concerned = match free {
+            let is_affected = match available {
                 0 => holder.outstanding > holder.target,
-                _ => holder.is_short(),
+                _ => holder.is_below_need(),
             };
-            if *key == reporter || holder.asked || !concerned {
+            if *key == reporter || holder.report_requested || !is_affected {
                 continue;
             }
-            holder.asked = true;
-            let message = ShareMessage::AskReport { epoch: self.epoch };
+            holder.report_requested = true;
+            let message = ShareMessage::RequestReport { epoch: self.epoch };
             self.actions.push(LedgerAction::Send { to: *key, message });
         }
     }
@@ -255,7 +255,7 @@
 
 impl Holder {
     /// Whether it holds less than it needs and should have.
-    fn is_short(&self) -> bool {
-        self.outstanding < self.want.needed.min(self.target)
+    fn is_below_need(&self) -> bool {
+        self.outstanding < self.demand.needed.min(self.target)
     }
 }
--- a/crates/spurpier-core/src/shares/message.rs
+++ b/crates/spurpier-core/src/shares/message.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, SerBin, DeBin)]
 pub struct ShareReport {
     /// The number of the report at its sender; only the answer to the last one is taken.
-    pub number: u64,
+    pub sequence: u64,
     /// The newest ledger epoch that the home knows.
     pub epoch: u64,
     /// The most connections that it may have open now: its allowance, or more while it closes.
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, SerBin, DeBin)]
 pub struct ShareGrant {
     /// The number of the report that this answers.
-    pub number: u64,
+    pub sequence: u64,
     /// The ledger's epoch.
     pub epoch: u64,
     /// The connections that the home may hold.
@@ -38,7 +38,7 @@
     /// From the ledger to a home.
     Grant(ShareGrant),
     /// From the ledger: report now, the shares have changed.
-    AskReport {
+    RequestReport {
         /// The ledger's epoch.
         epoch: u64,
     },
--- a/crates/spurpier-core/src/shares/mod.rs
+++ b/crates/spurpier-core/src/shares/mod.rs
@@ -8,16 +8,16 @@
 //! `docs/design/0011-connection-shares.md` gives the reasons.
 
 mod allocation;
+mod config;
 mod holder;
 mod ledger;
 mod message;
-mod settings;
 
-pub use allocation::{Want, max_min_shares, two_round_shares};
+pub use allocation::{ShareDemand, max_min_fair_shares, needs_first_shares};
+pub use config::ShareConfig;
 pub use holder::{HolderAction, HolderEvent, ShareHolder};
 pub use ledger::{LedgerAction, LedgerEvent, ShareLedger};
 pub use message::{ShareGrant, ShareMessage, ShareReport};
-pub use settings::ShareTuning;
 
 /// The fixed share of one home where the limit is split evenly by the settings.
 pub fn equal_share(limit: u32, homes: u32) -> u32 {
--- a/crates/spurpier-core/tests/shares_bound.rs
+++ b/crates/spurpier-core/tests/shares_bound.rs
@@ -11,15 +11,15 @@
 use proptest::prelude::*;
 use spurpier_core::membership::NodeKey;
 use spurpier_core::shares::{
-    HolderAction, HolderEvent, LedgerAction, LedgerEvent, ShareHolder, ShareLedger, ShareMessage,
-    ShareTuning, Want, max_min_shares, two_round_shares,
+    HolderAction, HolderEvent, LedgerAction, LedgerEvent, ShareConfig, ShareDemand, ShareHolder,
+    ShareLedger, ShareMessage, max_min_fair_shares, needs_first_shares,
 };
 use spurpier_core::time::Timestamp;
 
 const NODES: usize = 4;
 const LIMIT: u32 = 10;
 /// Messages for frozen nodes that may wait before a round of work stops delivering.
-const MESSAGES_A_ROUND: usize = 64;
+const MAX_QUEUED_PER_ROUND: usize = 64;
 
 /// One step of a schedule; numbers choose nodes and messages.
 #[derive(Debug, Clone)]
@@ -27,20 +27,20 @@
     /// Time passes for all.
     Wait(u16),
     /// All that run exchange messages in order for so many fifths of a second.
-    Run(u8),
-    /// A message under way arrives; it stays under way when `again`.
+    RunRounds(u8),
+    /// A message under way arrives; it stays under way when `keep_copy`.
     Deliver {
         message: prop::sample::Index,
-        again: bool,
+        keep_copy: bool,
     },
     /// A message under way is lost.
-    Lose(prop::sample::Index),
+    Drop(prop::sample::Index),
     /// A home takes another node for the keeper of the ledger.
-    Follow { home: usize, ledger: usize },
+    SetLedger { home: usize, ledger: usize },
     /// A node claims the ledger's epoch in the database.
-    Claim(usize),
+    ClaimEpoch(usize),
     /// A node asks for the epoch in force.
-    Check(usize),
+    ObserveEpoch(usize),
     /// A home's demand changes, and it opens what it may.
     Demand { home: usize, demand: u8 },
     /// A node stops running, or goes on.
@@ -53,13 +53,13 @@
     prop_oneof![
         2 => (0u16..3_000).prop_map(Step::Wait),
         1 => (0u16..30_000).prop_map(Step::Wait),
-        8 => (1u8..100).prop_map(Step::Run),
+        8 => (1u8..100).prop_map(Step::RunRounds),
         8 => (index(), prop::bool::weighted(0.1))
-            .prop_map(|(message, again)| Step::Deliver { message, again }),
-        1 => index().prop_map(Step::Lose),
-        1 => (node(), node()).prop_map(|(home, ledger)| Step::Follow { home, ledger }),
-        1 => node().prop_map(Step::Claim),
-        4 => node().prop_map(Step::Check),
+            .prop_map(|(message, keep_copy)| Step::Deliver { message, keep_copy }),
+        1 => index().prop_map(Step::Drop),
+        1 => (node(), node()).prop_map(|(home, ledger)| Step::SetLedger { home, ledger }),
+        1 => node().prop_map(Step::ClaimEpoch),
+        4 => node().prop_map(Step::ObserveEpoch),
         6 => (node(), 0u8..20).prop_map(|(home, demand)| Step::Demand { home, demand }),
         1 => (node(), any::<bool>()).prop_map(|(node, frozen)| Step::Freeze { node, frozen }),
     ]
@@ -80,9 +80,9 @@
 
 struct World {
     now: Timestamp,
-    tuning: Arc<ShareTuning>,
+    config: Arc<ShareConfig>,
     nodes: Vec<Node>,
-    under_way: Vec<Message>,
+    in_flight: Vec<Message>,
     demands: [u32; NODES],
     epoch: u64,
 }
@@ -93,46 +93,46 @@
 
 impl World {
     fn new() -> Self {
-        let tuning = Arc::new(ShareTuning::default());
+        let config = Arc::new(ShareConfig::default());
         let now = Timestamp::from_millis(1);
         let node = |_| Node {
-            holder: ShareHolder::new(now, tuning.clone()),
-            ledger: ShareLedger::new(LIMIT, tuning.clone()),
+            holder: ShareHolder::new(now, config.clone()),
+            ledger: ShareLedger::new(LIMIT, config.clone()),
             open: 0,
             frozen_since: None,
         };
         let mut world = World {
             now,
             nodes: (0..NODES).map(node).collect(),
-            tuning,
-            under_way: Vec::new(),
+            config,
+            in_flight: Vec::new(),
             demands: [3; NODES],
             epoch: 0,
         };
         for home in 0..NODES {
-            world.drive_holder(home, HolderEvent::LedgerIs(Some(key(0))));
+            world.drive_holder(home, HolderEvent::LedgerNode(Some(key(0))));
         }
-        world.claim(0);
+        world.claim_epoch(0);
         world
     }
 
-    fn take(&mut self, step: &Step) {
+    fn apply(&mut self, step: &Step) {
         match step {
             Step::Wait(millis) => self.wait(Duration::from_millis(u64::from(*millis))),
-            Step::Run(rounds) => (0..*rounds).for_each(|_| self.run_round()),
-            Step::Deliver { message, again } => self.deliver_chosen(message, *again),
-            Step::Lose(message) => {
-                if !self.under_way.is_empty() {
-                    let index = message.index(self.under_way.len());
-                    self.under_way.swap_remove(index);
+            Step::RunRounds(rounds) => (0..*rounds).for_each(|_| self.run_round()),
+            Step::Deliver { message, keep_copy } => self.deliver_indexed(message, *keep_copy),
+            Step::Drop(message) => {
+                if !self.in_flight.is_empty() {
+                    let index = message.index(self.in_flight.len());
+                    self.in_flight.swap_remove(index);
                 }
             }
-            Step::Follow { home, ledger } => {
-                self.drive_holder(*home, HolderEvent::LedgerIs(Some(key(*ledger))));
+            Step::SetLedger { home, ledger } => {
+                self.drive_holder(*home, HolderEvent::LedgerNode(Some(key(*ledger))));
             }
-            Step::Claim(node) => self.claim(*node),
-            Step::Check(node) => {
-                let event = LedgerEvent::Checked {
+            Step::ClaimEpoch(node) => self.claim_epoch(*node),
+            Step::ObserveEpoch(node) => {
+                let event = LedgerEvent::EpochObserved {
                     epoch: self.epoch,
                     asked_at: self.now,
                 };
@@ -143,7 +143,7 @@
                 let demand = u32::from(*demand);
                 self.demands[*home] = demand;
                 self.drive_holder(*home, HolderEvent::Demand { open, demand });
-                self.open_all(*home);
+                self.open_allowance(*home);
             }
             Step::Freeze { node, frozen } => self.freeze(*node, *frozen),
         }
@@ -151,15 +151,15 @@
 
     /// Time passes in small parts; homes that run tick, servers close what is silent.
     fn wait(&mut self, duration: Duration) {
-        const PART: Duration = Duration::from_millis(100);
+        const STEP_DURATION: Duration = Duration::from_millis(100);
         let end = self.now + duration;
         while self.now < end {
-            self.now = end.min(self.now + PART);
+            self.now = end.min(self.now + STEP_DURATION);
             for node in 0..NODES {
-                let silent = self.nodes[node]
+                let is_silent = self.nodes[node]
                     .frozen_since
-                    .is_some_and(|since| self.now.since(since) >= self.tuning.server_close);
-                if silent {
+                    .is_some_and(|since| self.now.since(since) >= self.config.server_close_timeout);
+                if is_silent {
                     self.nodes[node].open = 0;
                 }
                 self.drive_holder(node, HolderEvent::Tick);
@@ -170,40 +170,40 @@
     /// The ordinary work of all that run: checks of the epoch, messages in order, connections.
     fn run_round(&mut self) {
         for node in 0..NODES {
-            self.take(&Step::Check(node));
+            self.apply(&Step::ObserveEpoch(node));
             let open = self.nodes[node].open;
             let demand = self.demands[node];
             self.drive_holder(node, HolderEvent::Demand { open, demand });
         }
         let mut index = 0;
-        while index < self.under_way.len() && index < MESSAGES_A_ROUND {
+        while index < self.in_flight.len() && index < MAX_QUEUED_PER_ROUND {
             // What is for a frozen node stays under way.
-            match self.nodes[self.under_way[index].to].frozen_since {
+            match self.nodes[self.in_flight[index].to].frozen_since {
                 Some(_) => index += 1,
                 None => self.deliver(index, false),
             }
         }
-        (0..NODES).for_each(|node| self.open_all(node));
+        (0..NODES).for_each(|node| self.open_allowance(node));
         self.wait(Duration::from_millis(200));
     }
 
-    fn deliver_chosen(&mut self, message: &prop::sample::Index, again: bool) {
-        if !self.under_way.is_empty() {
-            let index = message.index(self.under_way.len());
-            self.deliver(index, again);
+    fn deliver_indexed(&mut self, message: &prop::sample::Index, keep_copy: bool) {
+        if !self.in_flight.is_empty() {
+            let index = message.index(self.in_flight.len());
+            self.deliver(index, keep_copy);
         }
     }
 
-    fn deliver(&mut self, index: usize, again: bool) {
-        let Message { from, to, message } = match again {
+    fn deliver(&mut self, index: usize, keep_copy: bool) {
+        let Message { from, to, message } = match keep_copy {
             true => {
-                let kept = &self.under_way[index];
+                let original = &self.in_flight[index];
                 Message {
-                    message: kept.message,
-                    ..*kept
+                    message: original.message,
+                    ..*original
                 }
             }
-            false => self.under_way.remove(index),
+            false => self.in_flight.remove(index),
         };
         match message {
             ShareMessage::Report(report) => {
@@ -213,17 +213,17 @@
             message => {
                 let from = key(from);
                 self.drive_holder(to, HolderEvent::Received { from, message });
-                self.open_all(to);
+                self.open_allowance(to);
             }
         }
     }
 
-    fn claim(&mut self, node: usize) {
+    fn claim_epoch(&mut self, node: usize) {
         if self.nodes[node].frozen_since.is_some() {
             return;
         }
         self.epoch += 1;
-        let event = LedgerEvent::Claimed {
+        let event = LedgerEvent::EpochClaimed {
             epoch: self.epoch,
             asked_at: self.now,
         };
@@ -248,7 +248,7 @@
         for action in actions {
             if let HolderAction::Send { to, message } = action {
                 let to = to.0 as usize;
-                self.under_way.push(Message {
+                self.in_flight.push(Message {
                     from: node,
                     to,
                     message,
@@ -272,7 +272,7 @@
         }
         for LedgerAction::Send { to, message } in self.nodes[node].ledger.handle(self.now, event) {
             let to = to.0 as usize;
-            self.under_way.push(Message {
+            self.in_flight.push(Message {
                 from: node,
                 to,
                 message,
@@ -280,7 +280,7 @@
         }
     }
 
-    fn open_all(&mut self, home: usize) {
+    fn open_allowance(&mut self, home: usize) {
         if self.nodes[home].frozen_since.is_none() {
             self.nodes[home].open = self.nodes[home].holder.allowance(self.now);
         }
@@ -295,10 +295,10 @@
     #![proptest_config(ProptestConfig::with_cases(1_000))]
 
     #[test]
-    fn the_limit_is_never_passed(steps in prop::collection::vec(step(), 1..80)) {
+    fn the_limit_is_never_exceeded(steps in prop::collection::vec(step(), 1..80)) {
         let mut world = World::new();
         for (index, step) in steps.iter().enumerate() {
-            world.take(step);
+            world.apply(step);
             let open: BTreeMap<usize, u32> =
                 world.nodes.iter().map(|node| node.open).enumerate().collect();
             prop_assert!(world.open() <= LIMIT, "step {}: {:?}", index, open);
@@ -306,18 +306,18 @@
     }
 
     #[test]
-    fn shares_keep_the_limit_and_serve_needs_first(
+    fn shares_stay_within_the_limit_and_cover_needs_first(
         limit in 0u32..60,
-        wants in prop::collection::vec((1u32..20, 0u32..10), 0..15),
+        demands in prop::collection::vec((1u32..20, 0u32..10), 0..15),
     ) {
-        let wants: Vec<Want> = wants
+        let demands: Vec<ShareDemand> = demands
             .iter()
-            .map(|(needed, more)| Want { needed: *needed, wanted: needed + more })
+            .map(|(needed, extra)| ShareDemand { needed: *needed, wanted: needed + extra })
             .collect();
-        let shares = two_round_shares(limit, &wants);
+        let shares = needs_first_shares(limit, &demands);
         prop_assert!(shares.iter().sum::<u32>() <= limit);
-        let needs: u32 = wants.iter().map(|want| want.needed).sum();
-        for (share, want) in shares.iter().zip(&wants) {
+        let needs: u32 = demands.iter().map(|want| want.needed).sum();
+        for (share, want) in shares.iter().zip(&demands) {
             prop_assert!(*share <= want.wanted);
             if needs <= limit {
                 prop_assert!(*share >= want.needed);
@@ -326,12 +326,12 @@
     }
 
     #[test]
-    fn max_min_shares_leave_nothing_that_is_wanted(
+    fn max_min_fair_shares_leave_no_usable_connection_unassigned(
         limit in 0u32..60,
-        wants in prop::collection::vec(0u32..20, 1..15),
+        demands in prop::collection::vec(0u32..20, 1..15),
     ) {
-        let shares = max_min_shares(limit, &wants);
-        let wanted: u32 = wants.iter().sum();
+        let shares = max_min_fair_shares(limit, &demands);
+        let wanted: u32 = demands.iter().sum();
         prop_assert_eq!(shares.iter().sum::<u32>(), limit.min(wanted));
     }
 }
@@ -346,10 +346,10 @@
     };
     for _ in 0..1_000 {
         world.drive_holder(2, demand);
-        world.open_all(2);
-        world.take(&Step::Check(0));
+        world.open_allowance(2);
+        world.apply(&Step::ObserveEpoch(0));
         world.wait(Duration::from_millis(100));
-        while !world.under_way.is_empty() {
+        while !world.in_flight.is_empty() {
             world.deliver(0, false);
         }
     }
@@ -359,47 +359,47 @@
 
 /// A home that was away for so long that its share was given to others takes only what is left.
 #[test]
-fn a_home_that_was_forgotten_and_comes_back_takes_only_what_is_left() {
+fn a_home_that_returns_after_its_lease_expired_gets_only_unused_connections() {
     let mut world = World::new();
     let frozen = |frozen| Step::Freeze { node: 2, frozen };
-    world.take(&Step::Run(100));
-    world.take(&Step::Run(100));
+    world.apply(&Step::RunRounds(100));
+    world.apply(&Step::RunRounds(100));
     assert!(world.nodes[2].open > 0);
-    world.take(&frozen(true));
-    world.take(&Step::Run(100));
-    world.take(&Step::Run(100));
+    world.apply(&frozen(true));
+    world.apply(&Step::RunRounds(100));
+    world.apply(&Step::RunRounds(100));
     assert_eq!(world.nodes[2].open, 0);
-    world.take(&frozen(false));
+    world.apply(&frozen(false));
     for _ in 0..100 {
-        world.take(&Step::Run(1));
+        world.apply(&Step::RunRounds(1));
         assert!(world.open() <= LIMIT);
     }
     assert!(world.nodes[2].open > 0);
 }
 
-/// A claim while a home is frozen, found by `the_limit_is_never_passed` and shrunk.
+/// A claim while a home is frozen, found by `the_limit_is_never_exceeded` and shrunk.
 #[test]
 fn a_claim_while_a_home_is_frozen_keeps_the_limit() {
     let steps = [
-        Step::Run(87),
-        Step::Run(94),
+        Step::RunRounds(87),
+        Step::RunRounds(94),
         Step::Freeze {
             node: 3,
             frozen: true,
         },
-        Step::Run(75),
-        Step::Run(78),
-        Step::Claim(0),
+        Step::RunRounds(75),
+        Step::RunRounds(78),
+        Step::ClaimEpoch(0),
         Step::Freeze {
             node: 3,
             frozen: false,
         },
-        Step::Run(1),
+        Step::RunRounds(1),
         Step::Wait(0),
     ];
     let mut world = World::new();
     for step in &steps {
-        world.take(step);
+        world.apply(step);
         assert!(world.open() <= LIMIT, "{step:?}");
     }
 }
--- a/crates/spurpier-rehearsal/src/shares/course.rs
+++ b/crates/spurpier-rehearsal/src/shares/course.rs
@@ -23,7 +23,7 @@
     pub(super) fn freeze(&mut self) {
         for home in 0..self.options.frozen {
             self.homes[home].frozen = true;
-            let closes_at = self.now + self.tuning.server_close;
+            let closes_at = self.now + self.tuning.server_close_timeout;
             self.queue.push(closes_at, Event::ServerCloses(home));
         }
     }
--- a/crates/spurpier-rehearsal/src/shares/scheme.rs
+++ b/crates/spurpier-rehearsal/src/shares/scheme.rs
@@ -4,8 +4,8 @@
 
 use spurpier_core::membership::NodeKey;
 use spurpier_core::shares::{
-    HolderAction, HolderEvent, LedgerAction, LedgerEvent, ShareHolder, ShareLedger, ShareMessage,
-    ShareTuning,
+    HolderAction, HolderEvent, LedgerAction, LedgerEvent, ShareConfig, ShareHolder, ShareLedger,
+    ShareMessage,
 };
 use spurpier_core::time::Timestamp;
 
@@ -44,7 +44,7 @@
 
 impl LedgerShare {
     /// A home without allowance.
-    pub(super) fn new(now: Timestamp, limit: u32, tuning: &Arc<ShareTuning>) -> Self {
+    pub(super) fn new(now: Timestamp, limit: u32, tuning: &Arc<ShareConfig>) -> Self {
         LedgerShare {
             holder: ShareHolder::new(now, tuning.clone()),
             ledger: ShareLedger::new(limit, tuning.clone()),
--- a/crates/spurpier-rehearsal/src/shares/simulation.rs
+++ b/crates/spurpier-rehearsal/src/shares/simulation.rs
@@ -6,7 +6,7 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use spurpier_core::membership::NodeKey;
-use spurpier_core::shares::{HolderEvent, LedgerEvent, ShareMessage, ShareTuning, equal_share};
+use spurpier_core::shares::{HolderEvent, LedgerEvent, ShareConfig, ShareMessage, equal_share};
 use spurpier_core::time::Timestamp;
 
 use super::escrow::{EscrowHome, EscrowMessage};
@@ -103,7 +103,7 @@
     pub(super) queue: EventQueue<Event>,
     pub(super) random: SmallRng,
     pub(super) now: Timestamp,
-    pub(super) tuning: Arc<ShareTuning>,
+    pub(super) tuning: Arc<ShareConfig>,
     pub(super) epoch: u64,
     pub(super) centre: usize,
     pub(super) moved_at: Option<Timestamp>,
@@ -139,7 +139,7 @@
 
 impl<'a> Run<'a> {
     fn new(scheme: SharingScheme, options: &'a ShareOptions) -> Self {
-        let tuning = Arc::new(ShareTuning::default());
+        let tuning = Arc::new(ShareConfig::default());
         let counting_from = Timestamp::ZERO + WARM_UP;
         let mut run = Run {
             options,
@@ -369,7 +369,7 @@
         let Share::Ledger(share) = &mut self.homes[home].share else {
             return;
         };
-        let mut sent = share.drive_holder(now, HolderEvent::LedgerIs(first.map(key)));
+        let mut sent = share.drive_holder(now, HolderEvent::LedgerNode(first.map(key)));
         sent.extend(share.drive_holder(now, HolderEvent::Tick));
         sent.extend(share.drive_ledger(now, LedgerEvent::Tick));
         if first == Some(home) {
@@ -399,8 +399,8 @@
             return;
         };
         let event = match claimed {
-            true => LedgerEvent::Claimed { epoch, asked_at },
-            false => LedgerEvent::Checked { epoch, asked_at },
+            true => LedgerEvent::EpochClaimed { epoch, asked_at },
+            false => LedgerEvent::EpochObserved { epoch, asked_at },
         };
         let sent = share.drive_ledger(now, event);
         self.send_all(home, sent);
