--- a/crates/spurpier-core/src/quota/authority.rs
+++ b/crates/spurpier-core/src/quota/authority.rs
@@ -1,4 +1,4 @@
-//! The node that counts a tenant's operations.
+//! The authority that counts tenants' operations over all nodes.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,34 +8,34 @@
 use super::votes::{AuthorityTimestamp, Votes};
 use crate::time::Timestamp;
 
-/// The shortest pause that a refused node is told. 60 nodes that ask for a tenant beyond its limit
-/// are then 1,200 questions a second at most, and fewer with the spread.
+/// The shortest retry delay in a grant. It caps the requests of 60 nodes for a tenant beyond its
+/// limit at 1,200 per second; jitter lowers this further.
 pub(super) const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
-/// The pause that a node is told which is refused because most nodes have not asked yet: they do
-/// within the 300 ms between two votes, as after a start of all nodes.
+/// The retry delay while the authority has no majority. Nodes vote every 300 ms, so that a majority
+/// forms within that time, for example after all nodes have started together.
 const NO_MAJORITY_RETRY_AFTER: Duration = Duration::from_millis(150);
-/// The longest one.
+/// The longest retry delay in a grant, before jitter.
 pub(super) const MAX_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// After so long without a question a tenant's bucket is forgotten.
+/// How long a tenant's token bucket is kept after the last request for it.
 const TENANT_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a node asks for one tenant.
+/// The permits that a node requests for one tenant.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PermitDemand {
-    /// Operations that wait for a leave.
+    /// Operations that wait for a permit.
     pub waiting: u32,
-    /// How much the tenant may ask for.
+    /// The tenant's rate limit.
     pub rate: QuotaRate,
-    /// The version of the configuration that says so.
+    /// The version of the configuration that sets `rate`.
     pub version: u64,
 }
 
-/// What a node is given for one tenant.
+/// An authority's answer to a [`PermitDemand`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Grant {
-    /// Leaves.
+    /// The number of permits granted.
     pub permits: u32,
-    /// After how long it may ask again, if it was given fewer than wait.
+    /// How long to wait before the next request, if fewer permits were granted than requested.
     pub retry_after: Duration,
 }
 
@@ -47,7 +47,7 @@
     last_requested_at: Timestamp,
 }
 
-/// What a node counts for others.
+/// Grants permits to all nodes while it has the votes of a majority of them.
 #[derive(Debug)]
 pub struct Authority {
     bound: QuotaBound,
@@ -56,7 +56,8 @@
 }
 
 impl Authority {
-    /// An authority that has not been asked yet; `incarnation` differs between the lives of its process.
+    /// Creates an authority without votes. `incarnation` must differ between restarts of its
+    /// process.
     pub fn new(bound: QuotaBound, incarnation: u64) -> Self {
         Authority {
             bound,
@@ -65,13 +66,14 @@
         }
     }
 
-    /// The present moment, to be told to those that ask.
+    /// The authority's current time, which each response returns to the requesting node.
     pub fn timestamp(&self, now: Timestamp) -> AuthorityTimestamp {
         self.votes.timestamp(now)
     }
 
-    /// Takes in that one of so many listed nodes asks, after a moment that it was told. Without one
-    /// it does not vote yet.
+    /// Records the vote that a request from `voter` carries, where `nodes` is the number of listed
+    /// nodes. `sent_after` is the authority's time that the voter knows to have passed when it sent
+    /// the request; without it the request does not count as a vote.
     pub fn record_vote(
         &mut self,
         voter: &str,
@@ -88,9 +90,9 @@
             .retain(|_, state| now.since(state.last_requested_at) < TENANT_IDLE_TIMEOUT);
     }
 
-    /// Answers a node that has voted; without the votes of most nodes nothing is given. `jitter`,
-    /// from 0 to 1, puts off the return of a refused node, so that not all return at the same
-    /// moment.
+    /// Answers the request of a node whose vote was recorded. Without the votes of a majority of
+    /// the nodes it grants nothing. The retry delay is multiplied by 1 + `jitter`, a random number
+    /// from 0 to 1, so that refused nodes do not all retry at once.
     pub fn grant(
         &mut self,
         tenant: &str,
@@ -106,7 +108,8 @@
         };
         let bound = self.bound;
         let state = self.tenants.entry(tenant.to_owned());
-        // All that was given since the majority is there was given here.
+        // All grants since this authority gained its majority were made here, so the bucket counts
+        // from that time.
         let state = state.or_insert_with(|| TenantState {
             bucket: TokenBucket::started_at(Budget::for_rate(want.rate, bound), majority_since),
             rate: want.rate,
@@ -130,7 +133,7 @@
         }
     }
 
-    /// Whether more than half of the nodes have asked within the life of a vote.
+    /// Whether the votes of more than half of the nodes are valid.
     pub fn has_majority(&self) -> bool {
         self.votes.majority_since().is_some()
     }
--- a/crates/spurpier-core/src/quota/bucket.rs
+++ b/crates/spurpier-core/src/quota/bucket.rs
@@ -1,27 +1,28 @@
-//! A token bucket.
+//! The token bucket that limits one tenant's rate.
 
 use std::time::Duration;
 
 use super::budget::{Budget, VOTE_TTL};
 use crate::time::Timestamp;
 
-/// The most that a new bucket holds.
+/// The most tokens in a new bucket.
 const INITIAL_TOKENS: f64 = 1.0;
 
-/// The leaves of one tenant at an authority.
+/// A token bucket for one tenant; each token is one permit.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TokenBucket {
     budget: Budget,
-    /// Leaves that may be given out.
+    /// Tokens available at `refilled_at`.
     tokens: f64,
     refilled_at: Timestamp,
 }
 
 impl TokenBucket {
-    /// A bucket that held one leave at a moment, so that a lone operation is not refused; less than
-    /// one for a rate that gives none within the life of a vote, for which no authority gives when
-    /// it changes. What the former one gave in the past and what this one gives from then on add up
-    /// to the rate.
+    /// Creates a bucket that held one token at `start`, so that a single operation is not refused.
+    ///
+    /// A rate that earns less than one token within [`VOTE_TTL`] starts with that fraction. The
+    /// nodes grant nothing for about that time while they change to another authority, so that the
+    /// grants of the previous authority and those of this one add up to no more than the rate.
     pub fn started_at(budget: Budget, start: Timestamp) -> Self {
         let tokens_per_vote_ttl = budget.per_second * VOTE_TTL.as_secs_f64();
         TokenBucket {
@@ -31,14 +32,14 @@
         }
     }
 
-    /// Goes on with another budget from now on.
+    /// Changes the budget from `now` on; tokens above the new capacity are lost.
     pub fn set_budget(&mut self, budget: Budget, now: Timestamp) {
         self.refill(now);
         self.budget = budget;
         self.tokens = self.tokens.min(budget.capacity);
     }
 
-    /// Gives out up to `wanted` leaves; tells how many.
+    /// Takes up to `wanted` whole tokens; returns how many were taken.
     pub fn take_up_to(&mut self, wanted: u32, now: Timestamp) -> u32 {
         self.refill(now);
         let count = wanted.min(self.tokens as u32);
@@ -46,7 +47,7 @@
         count
     }
 
-    /// How long until the next leave may be given out; a window if none ever may.
+    /// The time until the next whole token is available, at most the budget's window.
     pub fn time_until_available(&mut self, now: Timestamp) -> Duration {
         self.refill(now);
         let missing = (1.0 - self.tokens).max(0.0);
--- a/crates/spurpier-core/src/quota/diversity.rs
+++ b/crates/spurpier-core/src/quota/diversity.rs
@@ -1,31 +1,34 @@
-//! Which of the ranked nodes count a seat's operations.
+//! Selects the authorities of a quota shard in different regions and zones.
 
-/// Where a node stands.
+/// The zone and the region of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NodeLocality<'a> {
-    /// Its zone.
+    /// The node's zone.
     pub zone: &'a str,
-    /// The region of its zone, if that is known.
+    /// The region of the zone; none if it is not known.
     pub region: Option<&'a str>,
 }
 
-/// Chooses so many of the nodes at these places, which are in the order of their ranks: each one where
-/// the fewest of those before it stand, by region and then by zone. Gives their indices.
+/// Selects up to `count` nodes that share regions, and then zones, as little as possible.
 ///
-/// By rank alone three nodes of three regions with as many nodes stand in one region for one seat in
-/// nine (worked out), and its loss takes all that may count the seat's tenants.
+/// `localities` are those of the nodes in the order of their ranks. Each step selects the node with
+/// the fewest selected nodes in its region, and among equals the fewest in its zone; then the rank
+/// decides. Returns indices into `localities`.
+///
+/// By rank alone, with three regions of equal size, the three authorities of one shard in nine
+/// would be in a single region, and its loss would leave the shard's tenants without an authority.
 pub fn select_diverse_nodes(localities: &[NodeLocality<'_>], count: usize) -> Vec<usize> {
     let mut chosen: Vec<usize> = Vec::new();
     while chosen.len() < count.min(localities.len()) {
         let remaining = (0..localities.len()).filter(|index| !chosen.contains(index));
-        // The first of the least.
+        // `min_by_key` returns the first of equal elements, which is the best-ranked one.
         let next = remaining.min_by_key(|index| colocated_counts(localities, &chosen, *index));
         chosen.extend(next);
     }
     chosen
 }
 
-/// How many of the chosen stand in the region and in the zone of a node.
+/// The number of chosen nodes in the region and in the zone of a node.
 fn colocated_counts(
     localities: &[NodeLocality<'_>],
     chosen: &[usize],
--- a/crates/spurpier-core/src/quota/mod.rs
+++ b/crates/spurpier-core/src/quota/mod.rs
@@ -1,20 +1,23 @@
-//! How many operations a tenant may start, over all nodes together.
+//! Rate limits on tenants' operations, enforced over all nodes together.
 //!
-//! A tenant's operations are counted by one node, its *authority*. The nodes where clients ask are
-//! given leaves by it, each to start one operation within [`PERMIT_TTL`]. A leave that is lost on
-//! the way counts as used: what may have been taken counts as taken, which is the low bound of the
-//! escrow method (O'Neil, "The Escrow Transactional Method", 1986). A count that is told afterwards
-//! would let a tenant with seven times its usual load exceed its bound within half a second.
+//! One node, the tenant's [`Authority`], counts the tenant's operations. The nodes that serve
+//! clients request permits from it, each of which allows one operation to start within
+//! [`PERMIT_TTL`]. A permit that is lost in transit counts as used: whatever may have been used
+//! counts as used, as for the lower bound of the escrow method (O'Neil, "The Escrow Transactional
+//! Method", 1986). Reporting operations only after they ran would let a tenant at seven times its
+//! usual load exceed its bound within half a second.
 //!
-//! A node asks one authority at a time and thereby votes for it ([`AuthoritySelector`]). Only an
-//! authority that more than half of all listed nodes have asked within [`VOTE_TTL`] gives leaves. A
-//! vote counts from before it was sent, by the authority's own clock ([`AuthorityTimestamp`]), so that questions
-//! which were long on the way, or met an authority that stood still, are none.
+//! A node sends its requests to one authority at a time, and each request is a vote for that
+//! authority ([`AuthoritySelector`]). An authority grants permits only while it holds votes, each
+//! no older than [`VOTE_TTL`], from more than half of all listed nodes. The age of a vote is
+//! measured on the authority's own clock, from a time before the vote was sent
+//! ([`AuthorityTimestamp`]). A request that was delayed in transit, or reached an authority whose
+//! process was frozen, is therefore no valid vote.
 //!
-//! A part of each bound is set aside for the zones ([`Budget`], [`ZonePosition`]). While a zone has lost
-//! the authority of all nodes, its own ([`ZoneAuthority`]), which most of the zone's nodes have asked,
-//! gives leaves out of the zone's part. The parts are the same whoever is cut off, so that all zones
-//! together stay within the bound.
+//! Part of each bound is reserved for the zones ([`Budget`], [`ZonePosition`]). While the nodes of
+//! a zone have no global authority, the zone's own authority ([`ZoneAuthority`]), which needs the
+//! votes of a majority of the zone's nodes, grants permits from the zone's reserve. The reserves
+//! do not depend on which zones are partitioned, so all zones together stay within the bound.
 
 mod authority;
 mod bucket;
--- a/crates/spurpier-core/src/quota/permit_cache.rs
+++ b/crates/spurpier-core/src/quota/permit_cache.rs
@@ -1,4 +1,4 @@
-//! The leaves of a node where clients ask.
+//! The permits and refusals that a node knows for its own clients.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -7,39 +7,39 @@
 use super::budget::PERMIT_TTL;
 use crate::time::Timestamp;
 
-/// A leave to start an operation.
+/// Permission to start one operation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Permit {
-    /// Until when it may be used.
+    /// The time from which the permit can no longer be used.
     pub expires_at: Timestamp,
 }
 
-/// Whether an operation may start.
+/// The result of [`PermitCache::acquire`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AcquireOutcome {
-    /// It may.
+    /// The operation may start.
     Permit(Permit),
-    /// The tenant is at its limit, and may be asked for again after this time.
+    /// The tenant is at its limit; the authority may be asked again after this time.
     Limited(Duration),
-    /// The authority must be asked.
+    /// Nothing is known: the authority must be asked.
     AskAuthority,
 }
 
 #[derive(Debug, Default)]
 struct TenantState {
-    /// Leaves of operations that were not run, the one that ends first in front.
+    /// Unused permits of operations that did not run, in the order of their expiry.
     permits: VecDeque<Permit>,
     limited_until: Timestamp,
 }
 
-/// What a node knows of its tenants' limits.
+/// A node's unused permits, and the tenants that it knows to be at their limits.
 #[derive(Debug, Default)]
 pub struct PermitCache {
     tenants: HashMap<String, TenantState>,
 }
 
 impl PermitCache {
-    /// Takes a leave for an operation that a client asks for now.
+    /// Takes an unused permit for an operation that a client requests at `now`.
     pub fn acquire(&mut self, tenant: &str, now: Timestamp) -> AcquireOutcome {
         let Some(state) = self.tenants.get_mut(tenant) else {
             return AcquireOutcome::AskAuthority;
@@ -56,7 +56,7 @@
         AcquireOutcome::AskAuthority
     }
 
-    /// For how long the tenant is known to be at its limit; none if a leave may be had.
+    /// How long the tenant is known to stay at its limit; none if a permit may be available.
     pub fn limited_for(&self, tenant: &str, now: Timestamp) -> Option<Duration> {
         let state = self.tenants.get(tenant)?;
         let has_permit = state.permits.iter().any(|permit| permit.expires_at > now);
@@ -64,8 +64,10 @@
         is_limited.then(|| state.limited_until.since(now))
     }
 
-    /// Takes in the answer to a question for `waiting` operations that was sent at `requested_at`:
-    /// the leaves of those that may start. The others may ask again after the grant's pause.
+    /// Records the grant for a request for `waiting` operations that was sent at `requested_at`.
+    ///
+    /// Returns the permits of the operations that may start; none if they have expired by now. If
+    /// there are too few, the tenant is limited until the grant's `retry_after` has passed.
     pub fn record_grant(
         &mut self,
         tenant: &str,
@@ -86,7 +88,7 @@
         vec![permit; grant.permits.min(waiting) as usize]
     }
 
-    /// Takes back the leave of an operation that has not run.
+    /// Returns the permit of an operation that did not run, for use by the tenant's next one.
     pub fn return_unused(&mut self, tenant: &str, permit: Permit, now: Timestamp) {
         if permit.expires_at <= now {
             return;
--- a/crates/spurpier-core/src/quota/selector.rs
+++ b/crates/spurpier-core/src/quota/selector.rs
@@ -1,22 +1,24 @@
-//! Which authority a node asks.
+//! Selects the authority that a node sends its requests to.
 
 use std::time::Duration;
 
 use super::votes::AuthorityTimestamp;
 use crate::time::Timestamp;
 
-/// How long a node stays with the first-ranked authority although that has no majority, in lives of
-/// a vote: nodes that left another one have come to it by then. 1.2 s for the authority of all nodes.
+/// How long a node keeps the first-ranked authority although that has no majority, as a multiple of
+/// the TTL of a vote: 1.2 s for the global authority. By then the nodes that left another authority
+/// have voted for this one.
 const NO_MAJORITY_TIMEOUT_VOTE_TTLS: f64 = 12.0 / 7.0;
 
-/// A node's choice among the authorities of a tenant, which are ranked alike on all nodes.
+/// Selects one of the candidate authorities, which all nodes rank alike.
 ///
-/// A node asks another one only when its vote for the former is over, so that no two have the
-/// votes of most nodes at the same time. It stays with one that has a majority, so that an
-/// authority which comes back does not make all nodes change again.
+/// A node changes to another authority only after its vote for the previous one has expired, so
+/// that two authorities never have the votes of a majority of the nodes at the same time. It keeps
+/// an authority that has a majority, so that the return of a better-ranked one does not make all
+/// nodes change again.
 #[derive(Debug)]
 pub struct AuthoritySelector {
-    /// How long a question counts as a vote.
+    /// How long a request counts as a vote.
     vote_ttl: Duration,
     selected: Option<Selected>,
 }
@@ -26,14 +28,14 @@
     name: String,
     selected_at: Timestamp,
     last_requested_at: Option<Timestamp>,
-    /// Whether it has told that it has no majority.
+    /// Whether its last response reported that it has no majority.
     lacks_majority: bool,
-    /// The last moment of its clock that it told, and when that came.
+    /// The time on its clock in its last response, and when that response arrived.
     timestamp: Option<(AuthorityTimestamp, Timestamp)>,
 }
 
 impl Selected {
-    /// Until when its question may count as a vote, wherever that is by then.
+    /// When the last request to it stops counting as a vote, even if it is still in transit.
     fn vote_expires_at(&self, vote_ttl: Duration) -> Option<Timestamp> {
         self.last_requested_at
             .map(|last_requested_at| last_requested_at + vote_ttl)
@@ -41,7 +43,7 @@
 }
 
 impl AuthoritySelector {
-    /// No choice yet, among authorities where a vote counts for so long.
+    /// Creates a selector without a selection; `vote_ttl` is how long a request counts as a vote.
     pub fn new(vote_ttl: Duration) -> Self {
         AuthoritySelector {
             vote_ttl,
@@ -49,8 +51,9 @@
         }
     }
 
-    /// The authority to ask now, out of those that can be reached, in their order; none while the
-    /// vote for the former one lasts, or if none can be reached.
+    /// Selects the authority to send a request to at `now`. `reachable` are the authorities that
+    /// can be reached, in the order of their ranks. None while the vote for the previous one is
+    /// valid, or if none can be reached.
     pub fn select(&mut self, reachable: &[&str], now: Timestamp) -> Option<&str> {
         let preferred = self.preferred(reachable, now)?;
         let is_selected = |selected: &Selected| selected.name == preferred;
@@ -74,14 +77,15 @@
             .map(|selected| selected.name.as_str())
     }
 
-    /// Takes in that the authority is asked now.
+    /// Records that a request is sent to the selected authority at `now`.
     pub fn record_request(&mut self, now: Timestamp) {
         if let Some(selected) = &mut self.selected {
             selected.last_requested_at = Some(now);
         }
     }
 
-    /// Takes in an authority's answer: whether it has a majority, and a moment of its clock.
+    /// Records the response of an authority: whether it has a majority, and the time on its clock.
+    /// It is ignored unless that authority is still selected.
     pub fn record_response(
         &mut self,
         name: &str,
@@ -99,7 +103,8 @@
         }
     }
 
-    /// A moment of the authority's clock that is past now; none before it has told one.
+    /// A time on the selected authority's clock that has passed by `now`: its last reported time
+    /// plus the time since that arrived. None before its first response.
     pub fn authority_time(&self, now: Timestamp) -> Option<AuthorityTimestamp> {
         let (timestamp, received_at) = self.selected.as_ref()?.timestamp?;
         Some(AuthorityTimestamp {
@@ -108,12 +113,13 @@
         })
     }
 
-    /// Takes in that an authority gives no leaves any more, so that votes for it are void.
+    /// Records that an authority is stopping and grants no more permits. Votes for it are void, so
+    /// that another one can be selected at once.
     pub fn record_departure(&mut self, name: &str) {
         self.selected.take_if(|selected| selected.name == name);
     }
 
-    /// How long ago the authority was asked.
+    /// The time since the last request to the selected authority; none before the first.
     pub fn time_since_request(&self, now: Timestamp) -> Option<Duration> {
         let last_requested_at = self.selected.as_ref()?.last_requested_at?;
         Some(now.since(last_requested_at))
@@ -136,7 +142,7 @@
         if now.since(selected.selected_at) < self.vote_ttl.mul_f64(NO_MAJORITY_TIMEOUT_VOTE_TTLS) {
             return Some(first);
         }
-        // Most nodes may have stayed with another one.
+        // A majority of the nodes may have kept another authority.
         Some(reachable.get(1).copied().unwrap_or(first))
     }
 }
--- a/crates/spurpier-core/src/quota/votes.rs
+++ b/crates/spurpier-core/src/quota/votes.rs
@@ -1,34 +1,35 @@
-//! Who has asked an authority, and whether that is most of those that may.
+//! The votes for an authority, and since when they form a majority.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use crate::time::Timestamp;
 
-/// A moment on an authority's clock. A node that has been told one knows that all it sends later is
-/// sent after it.
+/// A time on an authority's clock. Whatever a node sends after it received one is sent after that
+/// time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AuthorityTimestamp {
-    /// The life of the authority's process.
+    /// Identifies one run of the authority's process; times of others cannot be compared.
     pub incarnation: u64,
-    /// The moment.
+    /// The time.
     pub at: Timestamp,
 }
 
-/// The votes of an authority.
+/// The votes for one authority.
 #[derive(Debug)]
 pub struct Votes {
     incarnation: u64,
-    /// How long a vote counts.
+    /// How long a vote is valid.
     vote_ttl: Duration,
-    /// The moment after which each node sent its last question.
+    /// A time after which each node sent its last request.
     voters: HashMap<String, Timestamp>,
-    /// Since when more than half of the nodes have asked, without a break.
+    /// Since when the votes of more than half of the nodes have been valid without interruption.
     majority_since: Option<Timestamp>,
 }
 
 impl Votes {
-    /// No votes; `incarnation` differs between the lives of the authority's process.
+    /// Creates an empty set of votes. `incarnation` must differ between restarts of the authority's
+    /// process.
     pub fn new(vote_ttl: Duration, incarnation: u64) -> Self {
         Votes {
             incarnation,
@@ -38,7 +39,7 @@
         }
     }
 
-    /// The present moment, to be told to those that ask.
+    /// The authority's current time, which each response returns to the requesting node.
     pub fn timestamp(&self, now: Timestamp) -> AuthorityTimestamp {
         AuthorityTimestamp {
             incarnation: self.incarnation,
@@ -46,8 +47,8 @@
         }
     }
 
-    /// Takes in that one of so many listed nodes asks, after a moment that it was told. Without one
-    /// it does not vote yet.
+    /// Records a request from `voter`, where `nodes` is the number of nodes that may vote. It
+    /// counts as a vote only with a `sent_after` of this incarnation, and from that time on.
     pub fn record(
         &mut self,
         voter: &str,
@@ -55,7 +56,7 @@
         nodes: usize,
         now: Timestamp,
     ) {
-        // What was asked before this question decides whether there was a break.
+        // The earlier votes decide whether the majority was interrupted before this request.
         self.refresh(nodes, now);
         let sent_after = sent_after
             .filter(|timestamp| timestamp.incarnation == self.incarnation && timestamp.at <= now);
@@ -71,12 +72,13 @@
         self.refresh(nodes, now);
     }
 
-    /// Since when most nodes have asked, each within the life of a vote and without a break.
+    /// Since when the votes of a majority of the nodes have been valid without interruption; none
+    /// if there is no majority.
     pub fn majority_since(&self) -> Option<Timestamp> {
         self.majority_since
     }
 
-    /// Drops votes that are over, and looks whether those of most nodes are left.
+    /// Removes expired votes and updates `majority_since`.
     fn refresh(&mut self, nodes: usize, now: Timestamp) {
         let vote_ttl = self.vote_ttl;
         self.voters
--- a/crates/spurpier-core/src/quota/zone.rs
+++ b/crates/spurpier-core/src/quota/zone.rs
@@ -1,4 +1,4 @@
-//! What a zone may use of its tenants' bounds without the other zones.
+//! The authority of a zone, which grants the zone's reserve while the zone is partitioned.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -9,23 +9,24 @@
 use crate::homes::subject_digest;
 use crate::time::Timestamp;
 
-/// For how long a node's question counts as a vote for the authority of its zone. A node votes
-/// every 1.2 s: what a zone counts by itself is needed while it is cut off, and a long life costs
-/// few messages until then.
+/// How long a node's request counts as a vote for the authority of its zone. A node votes every
+/// 1.2 s: the zone's authority is needed only while the zone is partitioned, and a long TTL keeps
+/// the number of votes low until then.
 pub const ZONE_VOTE_TTL: Duration = Duration::from_millis(2_800);
 
-/// A zone among all zones of the deployment, as the settings of all nodes have them.
+/// The position of a zone among all zones of the deployment, which all nodes know from their
+/// settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ZonePosition {
-    /// Its place in the order of the zones' names.
+    /// The index of the zone in the sorted list of the zones' names.
     pub index: usize,
-    /// How many zones there are.
+    /// The number of zones.
     pub count: usize,
 }
 
 impl ZonePosition {
-    /// The place of a zone among all; none if it is not one of them, or the only one, which has
-    /// nothing to lose touch with.
+    /// The position of `zone` among `zones`. None if it is not one of them, or if it is the only
+    /// one: there is no other zone from which it could be partitioned.
     pub fn of<'a>(zone: &str, zones: impl Iterator<Item = &'a str>) -> Option<Self> {
         let mut zones: Vec<&str> = zones.collect();
         zones.sort_unstable();
@@ -35,12 +36,12 @@
         (count > 1).then_some(ZonePosition { index, count })
     }
 
-    /// How many of a tenant's operations of each window are set aside for the zone. All zones
-    /// together have the whole slack but for the one leave that the authority of all always holds;
-    /// what does not divide goes to other zones for other tenants.
+    /// The number of the tenant's operations per window that are reserved for the zone.
     ///
-    /// It depends on no limit of the tenant: a zone that does not know of a new one uses as much as
-    /// the others take it to use.
+    /// The zones share the whole slack except for the one permit that the global authority may
+    /// always hold. The remainder of the division goes to different zones for different tenants.
+    /// The reserve does not depend on the tenant's rate limit, so that a zone that does not know of
+    /// a new limit uses no more than the other zones expect.
     pub fn reserved_permits(self, tenant: &str, bound: QuotaBound) -> usize {
         let total = (bound.slack - MIN_CAPACITY).max(0.0) as usize;
         let offset = (subject_digest(tenant) % self.count as u64) as usize;
@@ -49,18 +50,19 @@
     }
 }
 
-/// What a node counts for the others of its zone while they have no authority of all nodes.
+/// Grants the zone's reserve to the nodes of its zone while they have no global authority.
 #[derive(Debug)]
 pub struct ZoneAuthority {
     bound: QuotaBound,
     position: ZonePosition,
     votes: Votes,
-    /// When the leaves of each tenant were given, within the span that counts.
+    /// When each permit of a tenant was granted, for permits that can still fall into a window.
     grants: HashMap<String, VecDeque<Timestamp>>,
 }
 
 impl ZoneAuthority {
-    /// An authority that has not been asked yet; `incarnation` differs between the lives of its process.
+    /// Creates an authority without votes. `incarnation` must differ between restarts of its
+    /// process.
     pub fn new(bound: QuotaBound, position: ZonePosition, incarnation: u64) -> Self {
         ZoneAuthority {
             bound,
@@ -70,12 +72,13 @@
         }
     }
 
-    /// The present moment, to be told to those that ask.
+    /// The authority's current time, which each response returns to the requesting node.
     pub fn timestamp(&self, now: Timestamp) -> AuthorityTimestamp {
         self.votes.timestamp(now)
     }
 
-    /// Takes in that one of so many listed nodes of the zone asks, after a moment that it was told.
+    /// Records the vote that a request from `voter` carries, where `nodes` is the number of listed
+    /// nodes of the zone. `sent_after` is as for [`super::Authority::record_vote`].
     pub fn record_vote(
         &mut self,
         voter: &str,
@@ -89,16 +92,17 @@
         }
     }
 
-    /// Whether more than half of the zone's nodes have asked within the life of a vote.
+    /// Whether the votes of more than half of the zone's nodes are valid.
     pub fn has_majority(&self) -> bool {
         self.votes.majority_since().is_some()
     }
 
-    /// Answers a node that has voted and has so many operations waiting. `jitter`, from 0 to 1, puts
-    /// off the return of a refused node.
+    /// Answers the request of a node whose vote was recorded and that has `waiting` operations
+    /// without a permit. The retry delay is multiplied by 1 + `jitter`, a random number from 0 to
+    /// 1.
     pub fn grant(&mut self, tenant: &str, waiting: u32, jitter: f64, now: Timestamp) -> Grant {
         let accounting_window = self.bound.window + PERMIT_TTL + MAX_DISPATCH_DELAY;
-        // Another authority may have given all of the allowance until the majority came here.
+        // Until this authority got its majority, another one may have granted the whole reserve.
         let grants_from = self
             .votes
             .majority_since()
