--- a/crates/spurpier-core/src/shares/allocation.rs
+++ b/crates/spurpier-core/src/shares/allocation.rs
@@ -1,9 +1,10 @@
-//! How a limit is divided among wants.
+//! Divides a limit among the demands of its holders.
 
 /// Divides `limit` among holders by max-min fairness.
 ///
-/// No holder gets more than it wants, and none gets less than another unless it wants less. What
-/// cannot be divided evenly goes to the earlier holders.
+/// No holder gets more than its demand, and none gets less than another unless its demand is lower.
+/// A remainder that cannot be divided evenly goes to the holders with lower demands, and among equal
+/// demands to the earlier ones. Returns one share for each demand, in the same order.
 pub fn max_min_fair_shares(limit: u32, demands: &[u32]) -> Vec<u32> {
     let mut order: Vec<usize> = (0..demands.len()).collect();
     order.sort_by_key(|index| demands[*index]);
@@ -19,16 +20,17 @@
     shares
 }
 
-/// What one holder needs and would like to have.
+/// The connections that one holder needs and wants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ShareDemand {
-    /// What its mean demand fills.
+    /// The connections that its mean demand needs.
     pub needed: u32,
-    /// What its peaks of demand would fill; at least `needed`.
+    /// The connections that its peak demand would use; at least `needed`.
     pub wanted: u32,
 }
 
-/// Divides `limit` in two rounds: first by need, then what is left by the further wants.
+/// Divides `limit` in two rounds of max-min fairness: first by what the holders need, then the rest
+/// by what they want beyond that.
 pub fn needs_first_shares(limit: u32, demands: &[ShareDemand]) -> Vec<u32> {
     let needs: Vec<u32> = demands.iter().map(|demand| demand.needed).collect();
     let need_shares = max_min_fair_shares(limit, &needs);
--- a/crates/spurpier-core/src/shares/config.rs
+++ b/crates/spurpier-core/src/shares/config.rs
@@ -1,29 +1,29 @@
-//! The times of connection shares.
+//! The configuration of connection shares.
 
 use std::time::Duration;
 
-/// The times of connection shares.
+/// The leases, intervals and margins of connection shares.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ShareConfig {
-    /// How long an allowance lasts, counted by the holder from the sending of its report.
+    /// How long an allowance is valid, measured by the holder from when it sent its report.
     pub lease_duration: Duration,
-    /// The time between two reports of a holder whose demand does not change.
+    /// The interval between two reports of a holder whose demand does not change.
     pub report_interval: Duration,
-    /// The least time between two reports.
+    /// The shortest interval between two reports.
     pub min_report_interval: Duration,
-    /// How soon a holder reports that it wants less than half of its allowance.
+    /// How soon a holder reports after its demand falls below half of its allowance.
     pub surplus_report_delay: Duration,
-    /// The time constant of the mean of the demand.
+    /// The time constant of the exponentially weighted mean of the demand.
     pub demand_time_constant: Duration,
-    /// For how long a peak of demand is remembered.
+    /// How long a peak of the demand is kept.
     pub peak_retention: Duration,
-    /// Connections that a holder wants beyond its peaks of demand.
+    /// The connections that a holder wants beyond its peak demand.
     pub spare_connections: u32,
-    /// How long a ledger may grant after its last proof that its epoch is in force.
+    /// How long a ledger may grant after it last confirmed that its epoch is in force.
     pub ledger_lease: Duration,
-    /// The time after which a server closes the connections of a silent node.
+    /// The time after which a server closes the connections of an unresponsive node.
     pub server_close_timeout: Duration,
-    /// By how many percent two clocks may differ in speed.
+    /// The most by which the speeds of two clocks may differ, in percent.
     pub max_clock_drift_percent: u32,
 }
 
@@ -45,19 +45,19 @@
 }
 
 impl ShareConfig {
-    /// A duration on another node's clock, at its longest on this one.
+    /// The longest that a duration on another node's clock can take on this node's clock.
     fn with_drift(&self, duration: Duration) -> Duration {
         duration * (100 + self.max_clock_drift_percent) / 100
     }
 
-    /// How long a ledger counts a silent holder after its last grant: until the lease has run
-    /// out and the server has closed what the holder left open.
+    /// How long a ledger counts an unresponsive holder after its last grant: until the lease has
+    /// expired and the servers have closed the connections that the holder left open.
     pub fn holder_expiry(&self) -> Duration {
         self.with_drift(self.lease_duration + self.server_close_timeout)
     }
 
-    /// How long a new ledger deals only with what the homes that follow it hold: until an earlier
-    /// ledger has stopped granting and its last grants have run out.
+    /// How long a new ledger may redistribute only the connections of homes that have joined its
+    /// epoch: until an earlier ledger has stopped granting and its last grants have expired.
     pub fn takeover_delay(&self) -> Duration {
         self.with_drift(self.ledger_lease) + self.holder_expiry()
     }
--- a/crates/spurpier-core/src/shares/holder.rs
+++ b/crates/spurpier-core/src/shares/holder.rs
@@ -1,4 +1,4 @@
-//! A home's side of the connection shares.
+//! The share of one home: its reports to the ledger and its allowance.
 
 use std::sync::Arc;
 
@@ -7,18 +7,18 @@
 use crate::membership::NodeKey;
 use crate::time::Timestamp;
 
-/// What happens to a home's share.
+/// An input to [`ShareHolder::handle`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HolderEvent {
-    /// The time of [`ShareHolder::next_deadline`] has come (or any other time).
+    /// Time has passed. Due at [`ShareHolder::next_deadline`] and allowed at any time.
     Tick,
-    /// The node that keeps the ledger, as this node sees the members.
+    /// The node that keeps the ledger, according to this node's member list.
     LedgerNode(Option<NodeKey>),
     /// The state of the pool has changed.
     Demand {
-        /// Open connections, those being opened included.
+        /// Open connections, including those that are being opened.
         open: u32,
-        /// Connections in use and units that wait for one.
+        /// Connections in use plus units of work that wait for one.
         demand: u32,
     },
     /// A message arrived.
@@ -30,7 +30,7 @@
     },
 }
 
-/// What the caller has to do.
+/// What the caller of [`ShareHolder::handle`] has to do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HolderAction {
     /// Send a message.
@@ -40,11 +40,11 @@
         /// The message.
         message: ShareMessage,
     },
-    /// The allowance is now this: close idle connections above it, and when it is 0 all.
+    /// Apply a new allowance: close idle connections above it, and all connections if it is 0.
     Allowance(u32),
 }
 
-/// The last report and what became of it.
+/// The last report, as needed to recognise its answer.
 #[derive(Debug, Clone, Copy)]
 struct SentReport {
     sequence: u64,
@@ -75,7 +75,7 @@
 }
 
 impl ShareHolder {
-    /// A home without allowance.
+    /// Creates a holder without an allowance.
     pub fn new(now: Timestamp, config: Arc<ShareConfig>) -> Self {
         ShareHolder {
             config,
@@ -99,7 +99,8 @@
 
     /// The connections that this home may have open at `now`.
     ///
-    /// Ask at the very moment of opening a connection: the lease may have run out unseen.
+    /// Call this immediately before opening a connection: the lease may have expired since the last
+    /// event.
     pub fn allowance(&self, now: Timestamp) -> u32 {
         match now < self.lease_expires_at {
             true => self.allowance,
@@ -107,7 +108,7 @@
         }
     }
 
-    /// When [`HolderEvent::Tick`] is due at the latest.
+    /// The latest time at which [`HolderEvent::Tick`] must be handled.
     pub fn next_deadline(&self) -> Timestamp {
         match self.allowance {
             0 => self.next_report_at,
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Takes an event at time `now` and gives what is to be done.
+    /// Processes an event at `now`; returns the actions that the caller must carry out.
     pub fn handle(&mut self, now: Timestamp, event: HolderEvent) -> Vec<HolderAction> {
         self.expire_lease(now);
         match event {
@@ -169,7 +170,7 @@
         }
     }
 
-    /// Brings the exponentially weighted mean of the demand up to `now`.
+    /// Updates the exponentially weighted mean of the demand to `now`.
     fn update_mean(&mut self, now: Timestamp) {
         let elapsed = now.since(self.mean_updated_at).as_secs_f64();
         let decay = (-elapsed / self.config.demand_time_constant.as_secs_f64()).exp();
@@ -177,7 +178,7 @@
         self.mean_updated_at = now;
     }
 
-    /// The connections that the mean demand fills; one is always needed.
+    /// The connections that the mean demand needs, at least one.
     fn needed(&self) -> u32 {
         (self.mean_demand.ceil() as u32).max(1)
     }
@@ -187,7 +188,7 @@
         peak.max(self.needed())
     }
 
-    /// Brings the next report forward, but keeps it apart from the last one.
+    /// Schedules the next report as early as the shortest interval between reports allows.
     fn report_soon(&mut self, now: Timestamp) {
         let earliest = self
             .last_report
@@ -254,8 +255,8 @@
         self.lease_expires_at = lease_expires_at;
         self.set_allowance(grant.amount);
         if is_new_epoch || is_reduced {
-            // Only a report under the new epoch, or of the smaller holding, lets the ledger use
-            // what this home holds or has given up.
+            // The ledger can use what this home holds only after a report under the new epoch, and
+            // what it has given up only after a report of the smaller holding.
             self.report_soon(now);
         }
         self.is_answered = true;
--- a/crates/spurpier-core/src/shares/ledger.rs
+++ b/crates/spurpier-core/src/shares/ledger.rs
@@ -1,11 +1,11 @@
-//! The ledger of a database's connections at its first-ranked home.
+//! The ledger of a database's connections, kept by its first-ranked home.
 //!
-//! A ledger works under an epoch that it claims in the database itself, as the fence is raised.
-//! It grants only for a short time after its last proof that the epoch is in force. A ledger that
-//! takes over renews what homes report that they hold, and gives out the rest only when every
-//! grant of an earlier ledger must have run out. A home whose lease has run out holds nothing that
-//! could be renewed, whatever connections it has yet to close: the earlier ledger may have given
-//! its share to others.
+//! A ledger works under an epoch that it claims in the database itself, in the same way as the
+//! fence is raised. It grants only for a short time after it last confirmed that the epoch is in
+//! force. A ledger that takes over renews the allowances that homes report, and grants the rest of
+//! the limit only when every grant of an earlier ledger must have expired. A home whose lease has
+//! expired has no allowance to renew, even if it still has to close connections: the earlier ledger
+//! may have granted its share to other homes.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,40 +16,40 @@
 use crate::membership::NodeKey;
 use crate::time::Timestamp;
 
-/// What happens to a ledger.
+/// An input to [`ShareLedger::handle`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LedgerEvent {
     /// Time has passed.
     Tick,
-    /// The epoch was claimed in the database, confirmed by a majority of its servers.
+    /// This ledger has claimed an epoch in the database, confirmed by a majority of its servers.
     EpochClaimed {
-        /// The epoch.
+        /// The claimed epoch.
         epoch: u64,
         /// When the claim was sent.
         asked_at: Timestamp,
     },
-    /// The database's primary showed this epoch to a question sent at `asked_at`.
+    /// The database's primary reported the epoch in force.
     EpochObserved {
         /// The epoch in force.
         epoch: u64,
-        /// When the question was sent.
+        /// When the query was sent.
         asked_at: Timestamp,
     },
-    /// A home reported.
+    /// A report arrived.
     Received {
-        /// The home.
+        /// The home that sent it.
         from: NodeKey,
         /// The report.
         report: ShareReport,
     },
 }
 
-/// What the caller has to do.
+/// What the caller of [`ShareLedger::handle`] has to do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LedgerAction {
     /// Send a message.
     Send {
-        /// The home.
+        /// The home to send it to.
         to: NodeKey,
         /// The message.
         message: ShareMessage,
@@ -60,7 +60,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Holder {
     last_sequence: u64,
-    /// The most that the home may hold, whichever messages arrived.
+    /// The most connections that the home may hold, whichever messages arrived.
     outstanding: u32,
     demand: ShareDemand,
     /// The share that the home should have.
@@ -77,18 +77,19 @@
     config: Arc<ShareConfig>,
     limit: u32,
     epoch: u64,
-    /// Grants are made before this time only.
+    /// The ledger grants only before this time.
     valid_until: Timestamp,
-    /// Until this time all else than `taken_over` may be held by homes that do not follow yet.
+    /// Until this time, homes that have not joined the epoch may hold all connections except
+    /// `taken_over`.
     takeover_until: Timestamp,
-    /// Connections that homes held when they began to follow this ledger.
+    /// The allowances that homes held when they joined this ledger's epoch, added up.
     taken_over: u32,
     holders: BTreeMap<NodeKey, Holder>,
     actions: Vec<LedgerAction>,
 }
 
 impl ShareLedger {
-    /// A ledger that has claimed no epoch yet and grants nothing.
+    /// Creates a ledger that has claimed no epoch yet and grants nothing.
     pub fn new(limit: u32, config: Arc<ShareConfig>) -> Self {
         ShareLedger {
             config,
@@ -102,17 +103,17 @@
         }
     }
 
-    /// The epoch; 0 before the first claim.
+    /// The epoch of this ledger; 0 before the first claim.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// The most connections that all homes together may hold, as far as this ledger counts.
+    /// The most connections that the homes known to this ledger may hold, added up.
     pub fn outstanding(&self) -> u32 {
         self.holders.values().map(|holder| holder.outstanding).sum()
     }
 
-    /// Takes an event at time `now` and gives what is to be done.
+    /// Processes an event at `now`; returns the actions that the caller must carry out.
     pub fn handle(&mut self, now: Timestamp, event: LedgerEvent) -> Vec<LedgerAction> {
         self.remove_expired_holders(now);
         match event {
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Forgets homes whose last grant must have run out, and lets their share be given anew.
+    /// Removes homes whose last grant must have expired, so that their share can be granted again.
     fn remove_expired_holders(&mut self, now: Timestamp) {
         let holder_expiry = self.config.holder_expiry();
         self.holders
@@ -167,7 +168,7 @@
         }
         let holder = Holder {
             last_sequence: report.sequence,
-            // The report shows that no earlier grant can be taken any more.
+            // The sender accepts only the answer to this report, so earlier grants are void.
             outstanding: report.held,
             demand: ShareDemand {
                 needed: report.needed,
@@ -192,7 +193,7 @@
         }
     }
 
-    /// Connections that can be given out, whatever became of all messages under way.
+    /// The connections that can be granted under every outcome of the messages in transit.
     fn available(&self, now: Timestamp) -> u32 {
         if now >= self.takeover_until {
             return self.limit.saturating_sub(self.outstanding());
@@ -214,10 +215,12 @@
         };
         let amount = match holder.has_joined {
             true => holder.target.min(report.held + available),
-            // What an earlier ledger still counts for it; more may have gone to others.
+            // The allowance that an earlier ledger still counts for this home; it may have granted
+            // the rest to others.
             false => report.leased,
         };
-        // A home that was forgotten and comes back may report what others have got since.
+        // A home that was removed and returns may report connections that have been granted to
+        // others since.
         let not_held_by_others = self.limit.saturating_sub(outstanding - holder.outstanding);
         let amount = amount.min(not_held_by_others);
         holder.outstanding = report.held.max(amount);
@@ -230,8 +233,8 @@
         self.actions.push(LedgerAction::Send { to, message });
     }
 
-    /// Where a home lacks what it needs: asks it to report once connections are free, and until
-    /// then those that hold more than their share.
+    /// If any home holds less than it needs, requests reports: from such homes if connections are
+    /// available, otherwise from those that hold more than their target.
     fn request_reports(&mut self, now: Timestamp, reporter: NodeKey) {
         let available = self.available(now);
         let any_below_need = self.holders.values().any(Holder::is_below_need);
@@ -254,7 +257,7 @@
 }
 
 impl Holder {
-    /// Whether it holds less than it needs and should have.
+    /// Whether the home holds less than both its need and its target.
     fn is_below_need(&self) -> bool {
         self.outstanding < self.demand.needed.min(self.target)
     }
