--- a/crates/spurpier-core/tests/quota.rs
+++ b/crates/spurpier-core/tests/quota.rs
@@ -1,8 +1,8 @@
-//! Permits to start tenants' operations, in a model with cuts, pauses, restarts, late and lost
-//! messages, nodes that are wrong about whom they reach, and limits that change. The oracle counts
-//! every sliding window.
+//! Tests that tenants' operations stay within their bounds, in a model with partitions, frozen and
+//! restarted nodes, late and lost messages, nodes that are wrong about which nodes they can reach,
+//! and limits that change. The oracle checks every sliding window.
 //!
-//! Longer rounds by hand: `PROOF_SEED=7 PROOF_CASES=20000 cargo test -p spurpier-core --test quota`.
+//! Longer runs by hand: `PROOF_SEED=7 PROOF_CASES=20000 cargo test -p spurpier-core --test quota`.
 
 mod proof;
 mod quota_model;
@@ -22,7 +22,7 @@
 
 const DEFAULT_CASES: u64 = 300;
 
-/// Any step may follow any other.
+/// The reference of the state machine test: any step may follow any other.
 struct AnyStep;
 
 impl ReferenceStateMachine for AnyStep {
@@ -67,7 +67,7 @@
     fn no_window_exceeds_its_bound(sequential 1..60 => QuotaTest);
 }
 
-/// Whether random steps find that a window holds more than its bound.
+/// Whether random steps find a window that exceeds its bound.
 fn is_detected(breakage: Breakage) -> bool {
     let mut runner = TestRunner::new(config(400));
     let cases = proptest::collection::vec(steps(), 1..60);
@@ -87,7 +87,7 @@
     }
 }
 
-/// All nodes go from one authority to another and back, faster than their votes end.
+/// All nodes change between two authorities faster than their votes expire.
 #[test]
 fn alternating_authorities_grant_no_more_than_one() {
     let mut world = World::new(Breakage::None);
@@ -114,7 +114,7 @@
         selector.select(&["n1"], requested_at + VOTE_TTL),
         Some("n1")
     );
-    // One that leaves gives nothing more, and votes for it are void.
+    // An authority that stops grants nothing more, so votes for it are void.
     selector.record_request(requested_at + VOTE_TTL);
     selector.record_departure("n1");
     assert_eq!(
@@ -137,7 +137,7 @@
     assert_eq!(selector.select(&["n0", "n1"], later), Some("n1"));
     selector.record_response("n1", false, timestamp, later);
     assert_eq!(selector.select(&["n0", "n1"], later), Some("n0"));
-    // Most nodes may be with the second one.
+    // A majority of the nodes may have kept the second one.
     selector.record_response("n0", false, timestamp, later);
     assert_eq!(selector.select(&["n0", "n1"], later), Some("n0"));
     let after_timeout = later + Duration::from_secs(2);
@@ -160,7 +160,7 @@
         permit_cache.record_grant("t", grant, 2, requested_at, late),
         []
     );
-    // One whose operation has not run is used again while it lives.
+    // The permit of an operation that did not run is used again until it expires.
     permit_cache.return_unused("t", permits[0], in_time);
     permit_cache.return_unused("t", permits[1], in_time);
     assert_eq!(
@@ -199,14 +199,15 @@
     );
 }
 
-/// Questions of three seconds meet an authority that stood still, while most nodes ask another one.
+/// Requests take three seconds to reach one authority while a majority of the nodes votes for
+/// another one. If votes counted from their arrival, both authorities would have a majority.
 #[test]
 fn delayed_requests_do_not_count_as_votes() {
     let run = |breakage| {
         let mut world = World::new(breakage);
         world.apply(Step::Demand(12));
         world.apply(Step::Advance(40));
-        // Votes alone are on the way.
+        // Only votes are in transit.
         world.apply(Step::Demand(0));
         world.apply(Step::Delay(3_000));
         world.apply(Step::Advance(59));
@@ -222,7 +223,8 @@
     assert!(run(Breakage::StaleVotes).is_some());
 }
 
-/// Operations that a tenant far beyond its limit is served in calm, beside its limit.
+/// Without faults, a tenant with far more operations than its limit is served at least 95% of the
+/// limit.
 #[test]
 fn an_overloaded_tenant_is_served_nearly_its_whole_limit() {
     for (index, rate) in [(0, 200.0), (1, 40.0), (2, 8.0)] {
@@ -239,17 +241,17 @@
     }
 }
 
-/// The nodes of the zone that is cut off.
+/// The nodes of the zone that is partitioned from the others.
 const ISOLATED_ZONE: u8 = ZONES[1];
 
-/// The second zone and the others no longer reach each other, and know it.
+/// Partitions the second zone from the others; all nodes know which ones they can still reach.
 fn isolate_zone(world: &mut World) {
     world.apply(Step::Partition(ISOLATED_ZONE));
     for node in 0..NODES {
-        let is_cut = (ISOLATED_ZONE >> node) & 1 == 1;
+        let is_isolated = (ISOLATED_ZONE >> node) & 1 == 1;
         world.apply(Step::SetReachable(
             node,
-            if is_cut {
+            if is_isolated {
                 ISOLATED_ZONE
             } else {
                 !ISOLATED_ZONE
@@ -262,9 +264,10 @@
     (0..seconds).for_each(|_| world.apply(Step::Advance(20)));
 }
 
-/// What the nodes of a zone serve of a tenant beyond its limit while they are cut off for 8 s: its
-/// part of the slack in each of two windows. With the remainder that was shared by votes among all
-/// authorities without a majority, 3 for the largest limit and none for the others.
+/// For a tenant beyond its limit, the nodes of a zone serve the zone's reserve in each of the two
+/// windows that begin within 8 s of a partition. Dividing the slack by votes among all authorities
+/// without a majority, instead of by zones, served only 3 operations with the largest limit and
+/// none with the others.
 #[test]
 fn a_partitioned_zone_serves_its_reserve() {
     for (limit, rate) in RATES.iter().enumerate() {
@@ -280,7 +283,7 @@
     }
 }
 
-/// Whether a window holds more than its bound once zones are cut off and `then` has happened.
+/// Whether a window exceeds its bound after a partition of the zones followed by `then`.
 fn is_violated_in_partition(breakage: Breakage, then: impl Fn(&mut World)) -> bool {
     let mut world = World::new(breakage);
     world.apply(Step::Limit(4));
@@ -300,7 +303,7 @@
     assert!(is_violated_in_partition(Breakage::ZoneMajority, isolate));
 }
 
-/// No zone has most of all nodes, and each uses its own part.
+/// No authority has the votes of a majority of all nodes, and each zone uses its own reserve.
 #[test]
 fn partitioned_zones_use_no_more_than_their_reserves() {
     let freeze = |world: &mut World| world.apply(Step::Freeze(2, true));
@@ -308,7 +311,8 @@
     assert!(is_violated_in_partition(Breakage::UndividedSlack, freeze));
 }
 
-/// Most nodes are nowhere together, and the authority of each zone changes again and again.
+/// No authority has the votes of a majority of all nodes, and the authority of each zone keeps
+/// changing.
 #[test]
 fn alternating_zone_authorities_grant_no_more_than_one() {
     let mut world = World::new(Breakage::None);
@@ -326,19 +330,20 @@
     assert_eq!(world.violated_window(), None);
 }
 
-/// What is set aside for all zones is the same for each tenant, and never more than the slack.
+/// The reserves of all zones add up to the same number for each tenant: the slack of 20 less the
+/// one permit of the global authority.
 #[test]
 fn zone_reserves_add_up_to_the_slack() {
     for count in 2..40 {
         for tenant in ["a", "b", "c", "tenant"] {
             let positions = (0..count).map(|index| ZonePosition { index, count });
-            let reserves = positions.map(|locality| locality.reserved_permits(tenant, BOUND));
+            let reserves = positions.map(|position| position.reserved_permits(tenant, BOUND));
             assert_eq!(reserves.sum::<usize>(), 19);
         }
     }
 }
 
-/// The loss of a region takes one of the three nodes ranked for a seat at most.
+/// The loss of a region stops at most one of the three authorities ranked for a quota shard.
 #[test]
 fn authorities_of_a_shard_are_in_different_regions() {
     let zones = [
@@ -351,10 +356,10 @@
     let locality_of = |zone| locality(zones[zone]);
     let ranked = [0, 0, 1, 1, 0, 2, 3, 4].map(locality_of);
     assert_eq!(select_diverse_nodes(&ranked, 3), [0, 5, 7]);
-    // With two regions the third one stands in another zone.
+    // With two regions, the third one is in another zone.
     let ranked = [0, 0, 1, 2, 2].map(locality_of);
     assert_eq!(select_diverse_nodes(&ranked, 3), [0, 3, 2]);
-    // Where all stand together the rank alone counts.
+    // If all are in the same zone, the rank alone decides.
     let ranked = [0, 0].map(locality_of);
     assert_eq!(select_diverse_nodes(&ranked, 3), [0, 1]);
 }
@@ -369,8 +374,8 @@
 #[test]
 fn an_unknown_or_only_zone_has_no_position() {
     let zones = ["b", "a", "c"];
-    let locality = ZonePosition::of("b", zones.into_iter());
-    assert_eq!(locality, Some(ZonePosition { index: 1, count: 3 }));
+    let position = ZonePosition::of("b", zones.into_iter());
+    assert_eq!(position, Some(ZonePosition { index: 1, count: 3 }));
     assert_eq!(ZonePosition::of("d", zones.into_iter()), None);
     assert_eq!(ZonePosition::of("a", ["a"].into_iter()), None);
 }
@@ -391,7 +396,8 @@
     assert_eq!(world.violated_window(), None);
 }
 
-/// A budget gives the whole rate, and together with all that may be added the bound.
+/// A budget grants at least 95% of the rate. With the burst, the zones' reserve and the permits
+/// that are granted before a window and used in it, it stays within the bound.
 #[test]
 fn a_budget_stays_within_the_bound() {
     for (per_second, burst) in [(216.0, 216.0), (8.0, 8.0), (60.0, 10.0), (1_000.0, 1_000.0)] {
--- a/crates/spurpier-core/tests/quota_model/mod.rs
+++ b/crates/spurpier-core/tests/quota_model/mod.rs
@@ -1,4 +1,5 @@
-//! Nodes that ask each other for leave to start a tenant's operations, over links that fail.
+//! A model of nodes that request permits for one tenant's operations from each other, over links
+//! that fail.
 
 use std::time::Duration;
 
@@ -9,30 +10,30 @@
 };
 use spurpier_core::time::Timestamp;
 
-/// How many nodes there are; all are ranked as authorities, in the order of their numbers.
+/// The number of nodes. All are candidate authorities, ranked by their numbers.
 pub const NODES: usize = 5;
-/// The nodes of each zone.
+/// The nodes of each zone, as bit sets.
 pub const ZONES: [u8; 2] = [0b0_0111, 0b1_1000];
-/// How long a turn of the model takes.
+/// The virtual time of one tick.
 const TICK: Duration = Duration::from_millis(50);
-/// How often a node votes that asks for nothing.
+/// How often a node votes if it requests no permits.
 const VOTE_INTERVAL: Duration = Duration::from_millis(300);
 /// How often a node votes for the authority of its zone.
 const ZONE_VOTE_INTERVAL: Duration = Duration::from_millis(1_200);
-/// The most time between the start of an operation and its arrival at a server.
+/// The most time between the start of an operation and its arrival at a server, in milliseconds.
 const MAX_DISPATCH_DELAY_MS: u64 = 200;
 
 const TENANT: &str = "tenant";
 const NAMES: [&str; NODES] = ["n0", "n1", "n2", "n3", "n4"];
 
-/// What is judged.
+/// The bound that every window must keep.
 pub const BOUND: QuotaBound = QuotaBound {
     window: Duration::from_secs(5),
     overage: 0.1,
     slack: 20.0,
 };
 
-/// The limits that a configuration may set.
+/// The rate limits that a configuration may set.
 pub const RATES: [QuotaRate; 5] = [
     rate(200.0, 200.0),
     rate(40.0, 40.0),
@@ -45,47 +46,47 @@
     QuotaRate { per_second, burst }
 }
 
-/// A mechanism that is taken out.
+/// A mechanism that the model disables, to show that the oracle detects its absence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Breakage {
     None,
-    /// An authority gives the whole rate whoever asks.
+    /// An authority grants the whole rate without a majority.
     NoMajority,
-    /// A vote counts from when it arrives.
+    /// A vote counts from its arrival.
     StaleVotes,
-    /// The authority of a zone gives the zone's part whoever asks.
+    /// The authority of a zone grants the zone's reserve without a majority of the zone.
     ZoneMajority,
-    /// Each zone takes itself for the only one.
+    /// Each zone reserves the whole slack, as if it were the only zone.
     UndividedSlack,
 }
 
 impl Breakage {
-    /// Those that random steps find.
+    /// Those whose absence random steps detect.
     pub const FOUND_BY_RANDOM_STEPS: [Breakage; 1] = [Breakage::NoMajority];
 }
 
-/// What happens next.
+/// One step of a schedule. Sets of nodes are bit sets.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
-    /// So many turns pass.
+    /// The given number of ticks passes.
     Advance(u8),
-    /// The nodes of a set and the others no longer reach each other; an empty set heals it.
+    /// Partitions the nodes of a set from the others; an empty set heals the partition.
     Partition(u8),
-    /// Which nodes a node takes to be reachable, whether they are or not.
+    /// Sets which nodes a node considers reachable, whether they are or not.
     SetReachable(usize, u8),
-    /// A node stands still, or goes on.
+    /// Freezes a node or resumes it.
     Freeze(usize, bool),
-    /// A node's process ends and starts again.
+    /// Restarts a node's process.
     Restart(usize),
-    /// How long messages take from now on, in milliseconds.
+    /// Sets the delay of messages sent from now on, in milliseconds.
     Delay(u64),
-    /// How many operations clients ask for at each node and turn.
+    /// Sets how many operations clients request at each node and tick.
     Demand(u8),
-    /// The limit changes.
+    /// Changes the rate limit to an entry of [`RATES`].
     Limit(usize),
 }
 
-/// Steps in any order.
+/// A random step.
 pub fn steps() -> impl Strategy<Value = Step> {
     let node = 0..NODES;
     let set = 0_u8..(1 << NODES);
@@ -103,7 +104,7 @@
     ]
 }
 
-/// Whom an authority counts for.
+/// The nodes that an authority grants permits to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Scope {
     All,
@@ -132,7 +133,7 @@
     to: usize,
     arrives_at: Timestamp,
     requested_at: Timestamp,
-    /// The life of the process that asked.
+    /// The incarnation of the process that sent the request.
     incarnation: u32,
     scope: Scope,
     message: Message,
@@ -173,7 +174,7 @@
     }
 }
 
-/// All nodes and what is on the way between them, and all operations that reached a server.
+/// The nodes, the messages in transit between them, and the operations that reached a server.
 #[derive(Debug)]
 pub struct World {
     breakage: Breakage,
@@ -185,12 +186,13 @@
     demand: u8,
     version: u64,
     rate: QuotaRate,
-    /// The limits and since when they hold.
+    /// The rate limits, each with the time at which it was set.
     rate_history: Vec<(Timestamp, QuotaRate)>,
+    /// When each operation reached a server.
     arrivals: Vec<Timestamp>,
-    /// How many operations each node has started.
+    /// The number of operations that each node has started.
     started: [usize; NODES],
-    /// Tells apart the times that operations take.
+    /// The ticks so far, which also vary the dispatch delay of operations.
     ticks: u64,
 }
 
@@ -236,8 +238,8 @@
         }
     }
 
-    /// The fewest and the most operations that any window held beside its bound; none if the bound
-    /// was kept.
+    /// The operations in the first window that exceeds its bound, and that bound; none if every
+    /// window keeps its bound.
     pub fn violated_window(&self) -> Option<(usize, f64)> {
         let mut arrivals = self.arrivals.clone();
         arrivals.sort_unstable();
@@ -255,19 +257,20 @@
         None
     }
 
-    /// How many operations reached a server.
+    /// The number of operations that reached a server.
     pub fn arrived(&self) -> usize {
         self.arrivals.len()
     }
 
-    /// How many operations the nodes of a set have started.
+    /// The number of operations that the nodes of a set have started.
     pub fn started_by(&self, set: u8) -> usize {
         let is_in_set = |node: &usize| (set >> node) & 1 == 1;
         let nodes = (0..NODES).filter(is_in_set);
         nodes.map(|node| self.started[node]).sum()
     }
 
-    /// What a window that ends at a moment may hold: a lower limit binds a window later.
+    /// The most operations in a window that ends at `end`: the bound of the highest limit in force
+    /// during the two window lengths before it, because a lower limit binds one window later.
     fn max_operations_until(&self, end: Timestamp) -> f64 {
         let since = end.saturating_sub(BOUND.window * 2);
         let mut max_operations: f64 = 0.0;
@@ -445,7 +448,7 @@
         time_since_request.is_none_or(|time| time >= interval)
     }
 
-    /// Asks an authority; tells whether there is one to ask.
+    /// Sends a request to an authority; returns whether there is one to send it to.
     fn send_request(&mut self, node: usize, scope: Scope, waiting: u32) -> bool {
         let Some(authority) = self.select_authority(node, scope) else {
             return false;
--- a/crates/spurpier-core/tests/shares_bound.rs
+++ b/crates/spurpier-core/tests/shares_bound.rs
@@ -1,8 +1,9 @@
-//! The connections of a database never pass its limit, whatever happens to homes and messages.
+//! Tests that the connections of a database never exceed its limit.
 //!
 //! Homes and ledgers run on virtual time under random schedules: messages are delivered in any
-//! order, late, twice or never; homes disagree on who keeps the ledger; every node may be frozen
-//! and go on later, unaware. Each home opens as many connections as it may whenever it runs.
+//! order, late, twice or never; homes disagree on which node keeps the ledger; any node may freeze
+//! and resume later without noticing. Each home opens as many connections as its allowance permits
+//! whenever it runs.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,32 +19,33 @@
 
 const NODES: usize = 4;
 const LIMIT: u32 = 10;
-/// Messages for frozen nodes that may wait before a round of work stops delivering.
+/// A round of work stops delivering messages once so many wait for frozen nodes.
 const MAX_QUEUED_PER_ROUND: usize = 64;
 
-/// One step of a schedule; numbers choose nodes and messages.
+/// One step of a schedule. Nodes and messages are chosen by index.
 #[derive(Debug, Clone)]
 enum Step {
-    /// Time passes for all.
+    /// The given number of milliseconds passes.
     Wait(u16),
-    /// All that run exchange messages in order for so many fifths of a second.
+    /// All nodes that are not frozen work and exchange messages in order, for the given number of
+    /// rounds of 200 ms.
     RunRounds(u8),
-    /// A message under way arrives; it stays under way when `keep_copy`.
+    /// A message in transit arrives; with `keep_copy` a copy of it stays in transit.
     Deliver {
         message: prop::sample::Index,
         keep_copy: bool,
     },
-    /// A message under way is lost.
+    /// A message in transit is lost.
     Drop(prop::sample::Index),
-    /// A home takes another node for the keeper of the ledger.
+    /// A home considers another node the keeper of the ledger.
     SetLedger { home: usize, ledger: usize },
-    /// A node claims the ledger's epoch in the database.
+    /// A node claims a new ledger epoch in the database.
     ClaimEpoch(usize),
-    /// A node asks for the epoch in force.
+    /// A node queries the epoch in force.
     ObserveEpoch(usize),
-    /// A home's demand changes, and it opens what it may.
+    /// A home's demand changes, and it opens connections up to its allowance.
     Demand { home: usize, demand: u8 },
-    /// A node stops running, or goes on.
+    /// A node freezes or resumes.
     Freeze { node: usize, frozen: bool },
 }
 
@@ -149,7 +151,8 @@
         }
     }
 
-    /// Time passes in small parts; homes that run tick, servers close what is silent.
+    /// Advances time in small steps. Homes that are not frozen handle ticks, and servers close the
+    /// connections of homes that have been frozen for too long.
     fn wait(&mut self, duration: Duration) {
         const STEP_DURATION: Duration = Duration::from_millis(100);
         let end = self.now + duration;
@@ -167,7 +170,8 @@
         }
     }
 
-    /// The ordinary work of all that run: checks of the epoch, messages in order, connections.
+    /// One round of normal work of all nodes that are not frozen: epoch checks, messages in order,
+    /// and opening of connections.
     fn run_round(&mut self) {
         for node in 0..NODES {
             self.apply(&Step::ObserveEpoch(node));
@@ -177,7 +181,7 @@
         }
         let mut index = 0;
         while index < self.in_flight.len() && index < MAX_QUEUED_PER_ROUND {
-            // What is for a frozen node stays under way.
+            // Messages for a frozen node stay in transit.
             match self.nodes[self.in_flight[index].to].frozen_since {
                 Some(_) => index += 1,
                 None => self.deliver(index, false),
@@ -336,7 +340,7 @@
     }
 }
 
-/// Homes that run and talk to a ledger get all they need within a few exchanges.
+/// A home with all of the demand gets all connections that the other homes do not keep.
 #[test]
 fn a_home_with_all_the_demand_gets_all_the_connections() {
     let mut world = World::new();
@@ -357,7 +361,8 @@
     assert_eq!(world.nodes[2].open, LIMIT - (NODES as u32 - 1));
 }
 
-/// A home that was away for so long that its share was given to others takes only what is left.
+/// A home was frozen for so long that its share was granted to others; after that it gets only
+/// connections that no other home holds.
 #[test]
 fn a_home_that_returns_after_its_lease_expired_gets_only_unused_connections() {
     let mut world = World::new();
@@ -377,7 +382,9 @@
     assert!(world.nodes[2].open > 0);
 }
 
-/// A claim while a home is frozen, found by `the_limit_is_never_exceeded` and shrunk.
+/// A new epoch is claimed while a home is frozen. When the home resumes, its lease has expired and
+/// the earlier ledger may have granted its share to others, so its allowance must not be renewed.
+/// A shrunk case of `the_limit_is_never_exceeded`.
 #[test]
 fn a_claim_while_a_home_is_frozen_keeps_the_limit() {
     let steps = [
