--- a/crates/spurpier-core/src/commit/event.rs
+++ b/crates/spurpier-core/src/commit/event.rs
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CommitEvent<'a> {
     /// The first byte of the present attempt has left.
-    Begun,
+    Started,
     /// The COMMIT of the present attempt has left.
     CommitSent,
     /// The back end committed the attempt at this position.
@@ -52,7 +52,7 @@
         position: Option<Position>,
     },
     /// The back end said that it did not run the attempt: a replica, or a server that stops.
-    NotTaken {
+    Rejected {
         /// What to tell the caller if no other server takes it in time.
         reason: Reason,
     },
@@ -68,7 +68,7 @@
         same_statement: bool,
     },
     /// [`CommitAction::Settle`] inserted the key itself: no earlier copy committed in this log.
-    KeyWasFree {
+    KeyAbsent {
         /// The position of the settling transaction.
         position: Position,
     },
@@ -91,12 +91,12 @@
     /// Nothing until the next event; report `Tick` at [`super::CommitMachine::deadline`].
     Wait,
     /// The end.
-    Finish(CommitVerdict),
+    Finish(CommitOutcome),
 }
 
 /// How a write ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CommitVerdict {
+pub enum CommitOutcome {
     /// It is committed and confirmed, and the attempt's own answer may be given.
     Done {
         /// Where it stands, or a later confirmed position.
--- a/crates/spurpier-core/src/commit/machine.rs
+++ b/crates/spurpier-core/src/commit/machine.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::event::{CommitAction, CommitEvent, CommitVerdict, WriteKind};
+use super::event::{CommitAction, CommitEvent, CommitOutcome, WriteKind};
 use super::term_starts::TermStarts;
 use crate::group::GroupView;
 use crate::position::Position;
@@ -21,7 +21,7 @@
     /// No earlier copy is committed, and the present one was rolled back.
     RolledBack,
     /// No earlier copy is committed.
-    KeyWasFree,
+    KeyAbsent,
 }
 
 /// Where a write stands.
@@ -30,20 +30,20 @@
     /// Nothing of the present attempt has left.
     Unsent,
     /// Bytes have left, the COMMIT has not.
-    Begun,
+    Started,
     /// The COMMIT has left.
     CommitSent,
     /// A position is known whose confirmation proves the claim.
     Confirming { position: Position, claim: Claim },
     /// Nothing was written; it must still be shown that the server was the primary.
-    ShowingPrimary {
+    VerifyingPrimary {
         position: Position,
         since: Timestamp,
     },
     /// The present primary is being asked whether the key was committed.
     Settling,
     /// The end.
-    Finished(CommitVerdict),
+    Finished(CommitOutcome),
 }
 
 /// The state of one write.
@@ -54,81 +54,81 @@
     /// Whether an earlier attempt may still be, or become, committed.
     earlier_outstanding: bool,
     /// Until when an attempt may start.
-    patience_end: Timestamp,
+    start_deadline: Timestamp,
     /// How long an outcome is sought after the first COMMIT has left.
-    confirm_time: Duration,
+    confirm_timeout: Duration,
     /// When the outcome becomes unknown; none before the first COMMIT was answered or lost.
-    confirm_end: Option<Timestamp>,
+    confirm_deadline: Option<Timestamp>,
     starts: TermStarts,
 }
 
 impl CommitMachine {
     /// A write of which nothing has left; the caller makes the first attempt.
     ///
-    /// `starts` is what the group's watcher has seen of terms so far. `patience_end` bounds the
-    /// wait before anything is sent; `confirm_time` bounds the search for the outcome.
+    /// `starts` is what the group's watcher has seen of terms so far. `start_deadline` bounds the
+    /// wait before anything is sent; `confirm_timeout` bounds the search for the outcome.
     pub fn new(
         kind: WriteKind,
-        patience_end: Timestamp,
-        confirm_time: Duration,
+        start_deadline: Timestamp,
+        confirm_timeout: Duration,
         starts: TermStarts,
     ) -> Self {
         CommitMachine {
             kind,
             phase: Phase::Unsent,
             earlier_outstanding: false,
-            patience_end,
-            confirm_time,
-            confirm_end: None,
+            start_deadline,
+            confirm_timeout,
+            confirm_deadline: None,
             starts,
         }
     }
 
     /// When `Tick` must be reported at the latest.
     pub fn deadline(&self) -> Timestamp {
-        self.confirm_end.unwrap_or(self.patience_end)
+        self.confirm_deadline.unwrap_or(self.start_deadline)
     }
 
     /// The verdict, once there is one.
-    pub fn verdict(&self) -> Option<CommitVerdict> {
+    pub fn outcome(&self) -> Option<CommitOutcome> {
         match self.phase {
-            Phase::Finished(verdict) => Some(verdict),
+            Phase::Finished(outcome) => Some(outcome),
             _ => None,
         }
     }
 
     /// Takes in an event and says what to do next.
     pub fn step(&mut self, event: CommitEvent<'_>, now: Timestamp) -> CommitAction {
-        if let Phase::Finished(verdict) = self.phase {
-            return CommitAction::Finish(verdict);
+        if let Phase::Finished(outcome) = self.phase {
+            return CommitAction::Finish(outcome);
         }
         match event {
-            CommitEvent::Begun => self.begun(),
+            CommitEvent::Started => self.started(),
             CommitEvent::CommitSent => self.commit_sent(),
             CommitEvent::Committed { position } => self.committed(position, now),
-            CommitEvent::CommittedWithoutWrite { position } => self.show_primary(position, now),
+            CommitEvent::CommittedWithoutWrite { position } => self.verify_primary(position, now),
             CommitEvent::RolledBack { position } => self.rolled_back(position, now),
-            CommitEvent::NotTaken { reason } => self.not_taken(reason, now),
+            CommitEvent::Rejected { reason } => self.rejected(reason, now),
             CommitEvent::Fenced => self.fenced(),
             CommitEvent::ConnectionLost => self.connection_lost(now),
             CommitEvent::RecordFound {
                 position,
                 same_statement,
             } => self.record_found(position, same_statement, now),
-            CommitEvent::KeyWasFree { position } => self.confirm(position, Claim::KeyWasFree, now),
+            CommitEvent::KeyAbsent { position } => self.confirm(position, Claim::KeyAbsent, now),
             CommitEvent::View(view) => self.view(view, now),
             CommitEvent::Tick => self.tick(now),
         }
     }
 
-    fn finish(&mut self, verdict: CommitVerdict) -> CommitAction {
-        self.phase = Phase::Finished(verdict);
-        CommitAction::Finish(verdict)
+    fn finish(&mut self, outcome: CommitOutcome) -> CommitAction {
+        self.phase = Phase::Finished(outcome);
+        CommitAction::Finish(outcome)
     }
 
-    fn begun(&mut self) -> CommitAction {
+    fn started(&mut self) -> CommitAction {
         if self.phase == Phase::Unsent {
-            self.phase = Phase::Begun;
+            self.phase = Phase::Started;
         }
         CommitAction::Wait
     }
@@ -139,25 +139,25 @@
     }
 
     /// A statement may run for long, so the time counts from the answer or the loss.
-    fn start_confirm_time(&mut self, now: Timestamp) {
-        let end = now + self.confirm_time;
-        self.confirm_end.get_or_insert(end);
+    fn start_confirm_timeout(&mut self, now: Timestamp) {
+        let end = now + self.confirm_timeout;
+        self.confirm_deadline.get_or_insert(end);
     }
 
     fn committed(&mut self, position: Position, now: Timestamp) -> CommitAction {
-        self.confirm_end = Some(now + self.confirm_time);
+        self.confirm_deadline = Some(now + self.confirm_timeout);
         self.confirm(position, Claim::Committed, now)
     }
 
     fn confirm(&mut self, position: Position, claim: Claim, now: Timestamp) -> CommitAction {
-        self.start_confirm_time(now);
+        self.start_confirm_timeout(now);
         self.phase = Phase::Confirming { position, claim };
         CommitAction::Probe
     }
 
-    fn show_primary(&mut self, position: Position, now: Timestamp) -> CommitAction {
-        self.start_confirm_time(now);
-        self.phase = Phase::ShowingPrimary {
+    fn verify_primary(&mut self, position: Position, now: Timestamp) -> CommitAction {
+        self.start_confirm_timeout(now);
+        self.phase = Phase::VerifyingPrimary {
             position,
             since: now,
         };
@@ -166,31 +166,31 @@
 
     fn rolled_back(&mut self, position: Option<Position>, now: Timestamp) -> CommitAction {
         if !self.earlier_outstanding {
-            return self.finish(CommitVerdict::RolledBack);
+            return self.finish(CommitOutcome::RolledBack);
         }
         match position {
             Some(position) => self.confirm(position, Claim::RolledBack, now),
-            None => self.finish(CommitVerdict::Unknown(Reason::CommitUnknown)),
+            None => self.finish(CommitOutcome::Unknown(Reason::CommitUnknown)),
         }
     }
 
-    fn not_taken(&mut self, reason: Reason, now: Timestamp) -> CommitAction {
+    fn rejected(&mut self, reason: Reason, now: Timestamp) -> CommitAction {
         if self.phase == Phase::Settling {
             return self.settle_again(now);
         }
         if !self.kind.can_rerun() {
-            return self.finish(CommitVerdict::NotRun(reason));
+            return self.finish(CommitOutcome::NotRun(reason));
         }
         self.attempt_again(reason, now)
     }
 
     fn fenced(&mut self) -> CommitAction {
-        let verdict = if self.earlier_outstanding {
-            CommitVerdict::Unknown(Reason::CommitUnknown)
+        let outcome = if self.earlier_outstanding {
+            CommitOutcome::Unknown(Reason::CommitUnknown)
         } else {
-            CommitVerdict::NotRun(Reason::Fenced)
+            CommitOutcome::NotRun(Reason::Fenced)
         };
-        self.finish(verdict)
+        self.finish(outcome)
     }
 
     fn connection_lost(&mut self, now: Timestamp) -> CommitAction {
@@ -198,12 +198,12 @@
             Phase::Unsent if self.kind.can_rerun() => {
                 self.attempt_again(Reason::BackEndUnreachable, now)
             }
-            Phase::Unsent => self.finish(CommitVerdict::NotRun(Reason::BackEndUnreachable)),
-            Phase::Begun => self.lost_before_commit(now),
+            Phase::Unsent => self.finish(CommitOutcome::NotRun(Reason::BackEndUnreachable)),
+            Phase::Started => self.lost_before_commit(now),
             Phase::CommitSent => self.lost_after_commit(now),
             Phase::Settling => self.settle_again(now),
             // The answer is known; the connection is no longer needed.
-            Phase::Confirming { .. } | Phase::ShowingPrimary { .. } | Phase::Finished(_) => {
+            Phase::Confirming { .. } | Phase::VerifyingPrimary { .. } | Phase::Finished(_) => {
                 CommitAction::Wait
             }
         }
@@ -213,19 +213,19 @@
     fn lost_before_commit(&mut self, now: Timestamp) -> CommitAction {
         match self.kind {
             WriteKind::Keyed => self.attempt_again(Reason::BackEndUnreachable, now),
-            WriteKind::Unkeyed => self.finish(CommitVerdict::Unknown(Reason::ConnectionLost)),
+            WriteKind::Unkeyed => self.finish(CommitOutcome::Unknown(Reason::ConnectionLost)),
             WriteKind::Transaction | WriteKind::KeyedTransaction => {
-                self.finish(CommitVerdict::NotRun(Reason::TransactionLost))
+                self.finish(CommitOutcome::NotRun(Reason::TransactionLost))
             }
         }
     }
 
     fn lost_after_commit(&mut self, now: Timestamp) -> CommitAction {
         self.earlier_outstanding = true;
-        self.start_confirm_time(now);
+        self.start_confirm_timeout(now);
         match self.kind {
             WriteKind::Unkeyed | WriteKind::Transaction => {
-                self.finish(CommitVerdict::Unknown(Reason::ConnectionLost))
+                self.finish(CommitOutcome::Unknown(Reason::ConnectionLost))
             }
             WriteKind::Keyed => self.attempt_again(Reason::BackEndUnreachable, now),
             WriteKind::KeyedTransaction => self.settle_again(now),
@@ -250,12 +250,12 @@
 
     /// Ends an attempt that did not run; an earlier one may still have.
     fn give_up(&mut self, reason: Reason) -> CommitAction {
-        let verdict = if self.earlier_outstanding {
-            CommitVerdict::Unknown(Reason::CommitUnknown)
+        let outcome = if self.earlier_outstanding {
+            CommitOutcome::Unknown(Reason::CommitUnknown)
         } else {
-            CommitVerdict::NotRun(reason)
+            CommitOutcome::NotRun(reason)
         };
-        self.finish(verdict)
+        self.finish(outcome)
     }
 
     fn record_found(
@@ -277,27 +277,29 @@
         match self.phase {
             Phase::Confirming { position, claim } => {
                 if view.is_confirmed(position) {
-                    return self.claim_proved(position, claim);
+                    return self.finish_confirmed(position, claim);
                 }
-                self.unconfirmed(position, claim, view, now)
+                self.handle_unconfirmed(position, claim, view, now)
+            }
+            Phase::VerifyingPrimary { position, since } => {
+                self.check_read_index(position, since, view)
             }
-            Phase::ShowingPrimary { position, since } => self.primary_shown(position, since, view),
             _ => CommitAction::Wait,
         }
     }
 
-    fn claim_proved(&mut self, position: Position, claim: Claim) -> CommitAction {
+    fn finish_confirmed(&mut self, position: Position, claim: Claim) -> CommitAction {
         self.finish(match claim {
-            Claim::Committed => CommitVerdict::Done { position },
-            Claim::Recorded => CommitVerdict::Recorded { position },
-            Claim::KeyReused => CommitVerdict::NotRun(Reason::KeyReused),
-            Claim::RolledBack => CommitVerdict::RolledBack,
-            Claim::KeyWasFree => CommitVerdict::NotRun(Reason::TransactionLost),
+            Claim::Committed => CommitOutcome::Done { position },
+            Claim::Recorded => CommitOutcome::Recorded { position },
+            Claim::KeyReused => CommitOutcome::NotRun(Reason::KeyReused),
+            Claim::RolledBack => CommitOutcome::RolledBack,
+            Claim::KeyAbsent => CommitOutcome::NotRun(Reason::TransactionLost),
         })
     }
 
     /// The position is not confirmed in this view: a newer term decides, or time.
-    fn unconfirmed(
+    fn handle_unconfirmed(
         &mut self,
         position: Position,
         claim: Claim,
@@ -306,7 +308,7 @@
     ) -> CommitAction {
         let lost = self.starts.proves_lost(position, view);
         if lost && claim == Claim::Committed && !self.earlier_outstanding && !self.kind.is_keyed() {
-            return self.finish(CommitVerdict::NotRun(Reason::LostWithDeposedPrimary));
+            return self.finish(CommitOutcome::NotRun(Reason::LostWithDeposedPrimary));
         }
         let replaced = view
             .primary()
@@ -323,7 +325,7 @@
 
     /// A majority asked after the commit holds nothing newer than the server's own term, so no
     /// write of a newer term was confirmed before: the server showed every confirmed write.
-    fn primary_shown(
+    fn check_read_index(
         &mut self,
         position: Position,
         since: Timestamp,
@@ -332,9 +334,9 @@
         match view.read_index(since) {
             None => CommitAction::Wait,
             Some(index) if index.term <= position.term => {
-                self.finish(CommitVerdict::Done { position })
+                self.finish(CommitOutcome::Done { position })
             }
-            Some(_) => self.finish(CommitVerdict::NotRun(Reason::LostWithDeposedPrimary)),
+            Some(_) => self.finish(CommitOutcome::NotRun(Reason::LostWithDeposedPrimary)),
         }
     }
 
@@ -344,11 +346,13 @@
         }
         match self.phase {
             Phase::Unsent => self.give_up(Reason::NoPrimary),
-            Phase::ShowingPrimary { .. } => self.finish(CommitVerdict::NotRun(Reason::NoMajority)),
+            Phase::VerifyingPrimary { .. } => {
+                self.finish(CommitOutcome::NotRun(Reason::NoMajority))
+            }
             Phase::Confirming { .. } => self.tick_confirming(now),
             Phase::Settling => self.give_up(Reason::CommitUnknown),
             // A running statement has no deadline of its own here: its connection decides.
-            Phase::Begun | Phase::CommitSent | Phase::Finished(_) => CommitAction::Wait,
+            Phase::Started | Phase::CommitSent | Phase::Finished(_) => CommitAction::Wait,
         }
     }
 
@@ -356,6 +360,6 @@
         if now < self.deadline() {
             return CommitAction::Wait;
         }
-        self.finish(CommitVerdict::Unknown(Reason::CommitUnknown))
+        self.finish(CommitOutcome::Unknown(Reason::CommitUnknown))
     }
 }
--- a/crates/spurpier-core/src/commit/mod.rs
+++ b/crates/spurpier-core/src/commit/mod.rs
@@ -16,6 +16,6 @@
 mod machine;
 mod term_starts;
 
-pub use event::{CommitAction, CommitEvent, CommitVerdict, WriteKind};
+pub use event::{CommitAction, CommitEvent, CommitOutcome, WriteKind};
 pub use machine::CommitMachine;
 pub use term_starts::TermStarts;
--- a/crates/spurpier-core/src/statement/cache.rs
+++ b/crates/spurpier-core/src/statement/cache.rs
@@ -6,7 +6,7 @@
 use super::{ClassifiedText, classify};
 
 /// The longest text that is kept, in bytes; longer ones are classified each time.
-const LONGEST_TEXT: usize = 8 * 1024;
+const MAX_CACHED_TEXT_BYTES: usize = 8 * 1024;
 
 /// Classifications by statement text, in two generations.
 ///
@@ -35,7 +35,7 @@
 
     /// The classification of `text`, from the cache or worked out now.
     pub fn classify(&self, text: &str) -> Arc<ClassifiedText> {
-        if text.len() > LONGEST_TEXT {
+        if text.len() > MAX_CACHED_TEXT_BYTES {
             return Arc::new(classify(text));
         }
         if let Some(found) = self.find(text) {
--- a/crates/spurpier-core/src/statement/comment.rs
+++ b/crates/spurpier-core/src/statement/comment.rs
@@ -1,6 +1,6 @@
 //! What a client says of a request in comments, in the form of sqlcommenter.
 
-use super::split::Piece;
+use super::split::TokenizedStatement;
 
 /// The comment keys that the proxy knows.
 const REQUEST_KEY: &str = "spurpier_request";
@@ -16,9 +16,9 @@
 }
 
 /// The hints of all statements together; the first mention of each counts.
-pub(super) fn find_hints(pieces: &[Piece]) -> CommentHints {
+pub(super) fn find_hints(statements: &[TokenizedStatement]) -> CommentHints {
     let mut hints = CommentHints::default();
-    for comment in pieces.iter().flat_map(Piece::comments) {
+    for comment in statements.iter().flat_map(TokenizedStatement::comments) {
         hints.add_from(comment);
     }
     hints
--- a/crates/spurpier-core/src/statement/digest.rs
+++ b/crates/spurpier-core/src/statement/digest.rs
@@ -2,7 +2,7 @@
 
 use xxhash_rust::xxh3::{Xxh3, xxh3_128};
 
-use super::split::Piece;
+use super::split::TokenizedStatement;
 
 /// The digest of a request's statements and parameters, built up piece by piece.
 ///
@@ -50,10 +50,10 @@
 }
 
 /// The digest of the statements' tokens, so that comments and white space do not count.
-pub(super) fn digest_of_tokens(pieces: &[Piece]) -> u64 {
+pub(super) fn digest_of_tokens(statements: &[TokenizedStatement]) -> u64 {
     let mut digest = RequestDigest::new();
-    for piece in pieces {
-        for token in piece.words() {
+    for statement in statements {
+        for token in statement.significant_tokens() {
             digest.add(token.to_string().as_bytes());
         }
         digest.add(b";");
--- a/crates/spurpier-core/src/statement/functions.rs
+++ b/crates/spurpier-core/src/statement/functions.rs
@@ -4,7 +4,7 @@
 
 /// Whether a call of the function is known to have no effect: it is on the list below, and not
 /// named by a schema other than `pg_catalog`.
-pub(super) fn is_free_of_effects(name: &ObjectName) -> bool {
+pub(super) fn is_side_effect_free(name: &ObjectName) -> bool {
     let mut parts = Vec::with_capacity(name.0.len());
     for part in &name.0 {
         let Some(identifier) = part.as_ident() else {
@@ -23,12 +23,12 @@
 }
 
 fn is_listed(function: &str) -> bool {
-    FREE_OF_EFFECTS.binary_search(&function).is_ok()
+    SIDE_EFFECT_FREE.binary_search(&function).is_ok()
 }
 
 /// Built-in functions without effects, sorted. Functions that are volatile only in their result,
 /// such as `random`, are on it; `nextval`, `setval`, locks and everything unknown are not.
-const FREE_OF_EFFECTS: &[&str] = &[
+const SIDE_EFFECT_FREE: &[&str] = &[
     "abs",
     "acos",
     "age",
--- a/crates/spurpier-core/src/statement/mod.rs
+++ b/crates/spurpier-core/src/statement/mod.rs
@@ -17,12 +17,12 @@
 pub use cache::ClassificationCache;
 pub use comment::CommentHints;
 pub use digest::{RequestDigest, back_end_statement_name};
-pub use session_command::{LocalCommand, OwnSetting, SettingChange, quote_literal};
+pub use session_command::{LocalCommand, ProxySetting, SettingChange, quote_literal};
 
 use control::classify_control;
 use query::classify_query;
 use session_command::classify_session_command;
-use split::{Piece, split_statements};
+use split::{TokenizedStatement, split_statements};
 
 /// What one statement does.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -62,7 +62,7 @@
     }
 
     /// Whether the statement must stand alone in what is sent to a back end.
-    pub fn stands_alone(&self) -> bool {
+    pub fn must_be_sent_alone(&self) -> bool {
         !matches!(self, StatementClass::Read | StatementClass::Write)
     }
 }
@@ -89,23 +89,23 @@
 
 /// Classifies all statements of `text`.
 pub fn classify(text: &str) -> ClassifiedText {
-    let Some(pieces) = split_statements(text) else {
-        return classify_opaque(text);
+    let Some(tokenized) = split_statements(text) else {
+        return classify_untokenizable(text);
     };
-    let statements = pieces.iter().map(|piece| ClassifiedStatement {
-        range: piece.range.clone(),
-        class: classify_piece(text, piece),
+    let statements = tokenized.iter().map(|statement| ClassifiedStatement {
+        range: statement.range.clone(),
+        class: classify_tokenized(text, statement),
     });
     ClassifiedText {
         statements: statements.collect(),
-        hints: comment::find_hints(&pieces),
-        token_digest: digest::digest_of_tokens(&pieces),
+        hints: comment::find_hints(&tokenized),
+        token_digest: digest::digest_of_tokens(&tokenized),
     }
 }
 
 /// A text that has no valid tokens may hide transaction control behind a semicolon; such a text
 /// is refused, and any other counts as one write.
-fn classify_opaque(text: &str) -> ClassifiedText {
+fn classify_untokenizable(text: &str) -> ClassifiedText {
     let trimmed = text.trim_end().trim_end_matches(';');
     let class = if trimmed.contains(';') {
         StatementClass::Unsupported("several statements of which one cannot be read")
@@ -123,12 +123,12 @@
     }
 }
 
-fn classify_piece(text: &str, piece: &Piece) -> StatementClass {
-    let words = piece.words();
+fn classify_tokenized(text: &str, statement: &TokenizedStatement) -> StatementClass {
+    let words = statement.significant_tokens();
     if let Some(class) = classify_control(&words) {
         return class;
     }
-    let statement_text = &text[piece.range.clone()];
+    let statement_text = &text[statement.range.clone()];
     if let Some(class) = classify_session_command(statement_text, &words) {
         return class;
     }
--- a/crates/spurpier-core/src/statement/query.rs
+++ b/crates/spurpier-core/src/statement/query.rs
@@ -12,7 +12,7 @@
 
 use super::StatementClass;
 use super::control::keyword;
-use super::functions::is_free_of_effects;
+use super::functions::is_side_effect_free;
 
 /// The class of any statement that is neither transaction control nor a session command.
 pub(super) fn classify_query(text: &str, words: &[&Token]) -> StatementClass {
@@ -55,7 +55,7 @@
             options,
             ..
         } => {
-            let runs = *analyze || options.as_deref().is_some_and(asks_to_run);
+            let runs = *analyze || options.as_deref().is_some_and(requests_execution);
             read_if(!runs || is_read(inner))
         }
         Statement::CreateTable(table) if table.temporary => match table.on_commit {
@@ -75,22 +75,22 @@
 }
 
 /// Whether EXPLAIN's options run the statement, whatever value ANALYZE is given.
-fn asks_to_run(options: &[UtilityOption]) -> bool {
+fn requests_execution(options: &[UtilityOption]) -> bool {
     options
         .iter()
         .any(|option| option.name.value.eq_ignore_ascii_case("analyze"))
 }
 
 fn is_read(statement: &Statement) -> bool {
-    statement.visit(&mut EffectFinder).is_continue()
+    statement.visit(&mut SideEffectVisitor).is_continue()
 }
 
 /// Breaks off at the first node that may have an effect.
-struct EffectFinder;
+struct SideEffectVisitor;
 
-impl EffectFinder {
-    fn continue_if(free_of_effects: bool) -> ControlFlow<()> {
-        if free_of_effects {
+impl SideEffectVisitor {
+    fn continue_if(side_effect_free: bool) -> ControlFlow<()> {
+        if side_effect_free {
             ControlFlow::Continue(())
         } else {
             ControlFlow::Break(())
@@ -98,7 +98,7 @@
     }
 }
 
-impl Visitor for EffectFinder {
+impl Visitor for SideEffectVisitor {
     type Break = ();
 
     fn pre_visit_statement(&mut self, statement: &Statement) -> ControlFlow<()> {
@@ -115,26 +115,26 @@
     }
 
     fn pre_visit_table_factor(&mut self, factor: &TableFactor) -> ControlFlow<()> {
-        let free_of_effects = match factor {
-            TableFactor::Table { name, args, .. } => args.is_none() || is_free_of_effects(name),
-            TableFactor::Function { name, .. } => is_free_of_effects(name),
+        let side_effect_free = match factor {
+            TableFactor::Table { name, args, .. } => args.is_none() || is_side_effect_free(name),
+            TableFactor::Function { name, .. } => is_side_effect_free(name),
             TableFactor::Derived { .. }
             | TableFactor::TableFunction { .. }
             | TableFactor::UNNEST { .. }
             | TableFactor::NestedJoin { .. } => true,
             _ => false,
         };
-        Self::continue_if(free_of_effects)
+        Self::continue_if(side_effect_free)
     }
 
     fn pre_visit_expr(&mut self, expression: &Expr) -> ControlFlow<()> {
-        let free_of_effects = match expression {
-            Expr::Function(function) => is_free_of_effects(&function.name),
+        let side_effect_free = match expression {
+            Expr::Function(function) => is_side_effect_free(&function.name),
             Expr::BinaryOp { op, .. } => !is_custom_operator(op),
             Expr::UnaryOp { op, .. } => !matches!(op, UnaryOperator::DoubleAt),
             _ => true,
         };
-        Self::continue_if(free_of_effects)
+        Self::continue_if(side_effect_free)
     }
 }
 
--- a/crates/spurpier-core/src/statement/session_command.rs
+++ b/crates/spurpier-core/src/statement/session_command.rs
@@ -26,7 +26,7 @@
 
 /// A setting that the proxy itself holds for a session.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OwnSetting {
+pub enum ProxySetting {
     /// `spurpier.session`: the name of the session.
     Session,
     /// `spurpier.position`: the position token.
@@ -37,14 +37,14 @@
     RequestKey,
 }
 
-impl OwnSetting {
+impl ProxySetting {
     /// The setting of this name, given in lower case.
-    pub fn from_name(name: &str) -> Option<OwnSetting> {
+    pub fn from_name(name: &str) -> Option<ProxySetting> {
         match name {
-            "spurpier.session" => Some(OwnSetting::Session),
-            "spurpier.position" => Some(OwnSetting::Position),
-            "spurpier.class" => Some(OwnSetting::Class),
-            "spurpier.request_key" => Some(OwnSetting::RequestKey),
+            "spurpier.session" => Some(ProxySetting::Session),
+            "spurpier.position" => Some(ProxySetting::Position),
+            "spurpier.class" => Some(ProxySetting::Class),
+            "spurpier.request_key" => Some(ProxySetting::RequestKey),
             _ => None,
         }
     }
@@ -52,10 +52,10 @@
     /// The setting's name.
     pub const fn name(self) -> &'static str {
         match self {
-            OwnSetting::Session => "spurpier.session",
-            OwnSetting::Position => "spurpier.position",
-            OwnSetting::Class => "spurpier.class",
-            OwnSetting::RequestKey => "spurpier.request_key",
+            ProxySetting::Session => "spurpier.session",
+            ProxySetting::Position => "spurpier.position",
+            ProxySetting::Class => "spurpier.class",
+            ProxySetting::RequestKey => "spurpier.request_key",
         }
     }
 }
@@ -66,12 +66,12 @@
     /// Sets one of the proxy's own settings; an empty value clears it.
     Set {
         /// Which setting.
-        setting: OwnSetting,
+        setting: ProxySetting,
         /// Its value, unquoted.
         value: String,
     },
     /// Shows one of the proxy's own settings.
-    Show(OwnSetting),
+    Show(ProxySetting),
     /// `DEALLOCATE name`, or all statements without a name.
     Deallocate(Option<String>),
     /// `DISCARD ALL`.
@@ -166,7 +166,7 @@
         return StatementClass::Unsupported("SET of a setting that the proxy holds");
     }
     let is_default = value.len() == 1 && keyword(value[0]) == "DEFAULT";
-    if let Some(setting) = OwnSetting::from_name(&name) {
+    if let Some(setting) = ProxySetting::from_name(&name) {
         let value = if is_default {
             String::new()
         } else {
@@ -269,7 +269,7 @@
     if FIXED_SETTINGS.contains(&name.as_str()) {
         return StatementClass::Unsupported("RESET of a setting that the proxy holds");
     }
-    match OwnSetting::from_name(&name) {
+    match ProxySetting::from_name(&name) {
         Some(setting) => StatementClass::Local(LocalCommand::Set {
             setting,
             value: String::new(),
@@ -280,7 +280,7 @@
 
 fn classify_show(words: &[&Token]) -> StatementClass {
     let name = setting_name(words);
-    match name.as_deref().and_then(OwnSetting::from_name) {
+    match name.as_deref().and_then(ProxySetting::from_name) {
         Some(setting) => StatementClass::Local(LocalCommand::Show(setting)),
         None => StatementClass::Read,
     }
--- a/crates/spurpier-core/src/statement/split.rs
+++ b/crates/spurpier-core/src/statement/split.rs
@@ -7,18 +7,18 @@
 
 /// One statement's tokens and where it stands.
 #[derive(Debug)]
-pub(super) struct Piece {
+pub(super) struct TokenizedStatement {
     /// The bytes of the text from the statement's first token to its last, comments included.
     pub range: Range<usize>,
     /// The tokens, white space and comments included.
     pub tokens: Vec<Token>,
     /// Whether anything but white space and comments is in it.
-    has_content: bool,
+    has_significant_tokens: bool,
 }
 
-impl Piece {
+impl TokenizedStatement {
     /// The tokens that carry meaning.
-    pub fn words(&self) -> Vec<&Token> {
+    pub fn significant_tokens(&self) -> Vec<&Token> {
         let meaningful = |token: &&Token| !matches!(token, Token::Whitespace(_));
         self.tokens.iter().filter(meaningful).collect()
     }
@@ -33,36 +33,36 @@
 }
 
 /// The statements of a text; none when its tokens are not valid.
-pub(super) fn split_statements(text: &str) -> Option<Vec<Piece>> {
+pub(super) fn split_statements(text: &str) -> Option<Vec<TokenizedStatement>> {
     let dialect = PostgreSqlDialect {};
     let tokens = Tokenizer::new(&dialect, text)
         .tokenize_with_location()
         .ok()?;
     let mut offsets = OffsetFinder::new(text);
-    let mut pieces = Vec::new();
-    let mut piece = Piece::starting_at(0);
+    let mut statements = Vec::new();
+    let mut statement = TokenizedStatement::starting_at(0);
     for TokenWithSpan { token, span } in tokens {
         if token == Token::SemiColon {
-            piece.range.end = offsets.offset_of(span.start);
-            let next = Piece::starting_at(piece.range.end + 1);
-            pieces.push(std::mem::replace(&mut piece, next));
+            statement.range.end = offsets.offset_of(span.start);
+            let next = TokenizedStatement::starting_at(statement.range.end + 1);
+            statements.push(std::mem::replace(&mut statement, next));
             continue;
         }
-        piece.has_content |= !matches!(token, Token::Whitespace(_) | Token::EOF);
-        piece.tokens.push(token);
+        statement.has_significant_tokens |= !matches!(token, Token::Whitespace(_) | Token::EOF);
+        statement.tokens.push(token);
     }
-    piece.range.end = text.len();
-    pieces.push(piece);
-    pieces.retain(|piece| piece.has_content);
-    Some(pieces)
+    statement.range.end = text.len();
+    statements.push(statement);
+    statements.retain(|statement| statement.has_significant_tokens);
+    Some(statements)
 }
 
-impl Piece {
+impl TokenizedStatement {
     fn starting_at(offset: usize) -> Self {
-        Piece {
+        TokenizedStatement {
             range: offset..offset,
             tokens: Vec::new(),
-            has_content: false,
+            has_significant_tokens: false,
         }
     }
 }
--- a/crates/spurpier-core/tests/commit.rs
+++ b/crates/spurpier-core/tests/commit.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use spurpier_core::commit::{
-    CommitAction, CommitEvent, CommitMachine, CommitVerdict, TermStarts, WriteKind,
+    CommitAction, CommitEvent, CommitMachine, CommitOutcome, TermStarts, WriteKind,
 };
 use spurpier_core::group::{GroupView, ObservedStatus, ServerRole, ServerStatus, ServerView};
 use spurpier_core::identity::{ServerName, ZoneName};
@@ -11,8 +11,8 @@
 use spurpier_core::reason::Reason;
 use spurpier_core::time::Timestamp;
 
-const PATIENCE_END: Timestamp = Timestamp::from_millis(1_000);
-const CONFIRM_TIME: Duration = Duration::from_millis(5_000);
+const START_DEADLINE: Timestamp = Timestamp::from_millis(1_000);
+const CONFIRM_TIMEOUT: Duration = Duration::from_millis(5_000);
 
 fn now(millis: u64) -> Timestamp {
     Timestamp::from_millis(millis)
@@ -61,12 +61,12 @@
 }
 
 fn machine(kind: WriteKind) -> CommitMachine {
-    CommitMachine::new(kind, PATIENCE_END, CONFIRM_TIME, TermStarts::default())
+    CommitMachine::new(kind, START_DEADLINE, CONFIRM_TIMEOUT, TermStarts::default())
 }
 
 fn committed(kind: WriteKind, position: Position) -> CommitMachine {
     let mut machine = machine(kind);
-    machine.step(CommitEvent::Begun, now(1));
+    machine.step(CommitEvent::Started, now(1));
     machine.step(CommitEvent::CommitSent, now(2));
     let action = machine.step(CommitEvent::Committed { position }, now(3));
     assert_eq!(action, CommitAction::Probe);
@@ -87,52 +87,56 @@
     let action = machine.step(CommitEvent::View(&majority), now(5));
     assert_eq!(
         action,
-        CommitAction::Finish(CommitVerdict::Done { position })
+        CommitAction::Finish(CommitOutcome::Done { position })
     );
 }
 
 #[test]
 fn a_commit_that_a_confirmed_newer_term_lacks_did_not_run() {
     let mut machine = committed(WriteKind::Unkeyed, Position::new(1, 10));
-    let opening = Position::new(2, 10);
-    let replaced = view([Position::new(1, 10), opening, opening], now(4));
-    let action = machine.step(CommitEvent::View(&replaced), now(4));
-    let verdict = CommitVerdict::NotRun(Reason::LostWithDeposedPrimary);
-    assert_eq!(action, CommitAction::Finish(verdict));
+    let term_start = Position::new(2, 10);
+    let newer_term = view([Position::new(1, 10), term_start, term_start], now(4));
+    let action = machine.step(CommitEvent::View(&newer_term), now(4));
+    let outcome = CommitOutcome::NotRun(Reason::LostWithDeposedPrimary);
+    assert_eq!(action, CommitAction::Finish(outcome));
 }
 
 #[test]
 fn a_newer_term_that_may_hold_the_commit_leaves_it_unknown() {
     let mut machine = committed(WriteKind::Unkeyed, Position::new(1, 10));
-    let opening = Position::new(2, 11);
-    let replaced = view([Position::new(1, 10), opening, opening], now(4));
+    let term_start = Position::new(2, 11);
+    let newer_term = view([Position::new(1, 10), term_start, term_start], now(4));
     assert_eq!(
-        machine.step(CommitEvent::View(&replaced), now(4)),
+        machine.step(CommitEvent::View(&newer_term), now(4)),
         CommitAction::Wait
     );
     let action = machine.step(CommitEvent::Tick, now(5_003));
-    let verdict = CommitVerdict::Unknown(Reason::CommitUnknown);
-    assert_eq!(action, CommitAction::Finish(verdict));
+    let outcome = CommitOutcome::Unknown(Reason::CommitUnknown);
+    assert_eq!(action, CommitAction::Finish(outcome));
 }
 
 #[test]
 fn an_unconfirmed_newer_term_proves_nothing() {
     let mut machine = committed(WriteKind::Unkeyed, Position::new(1, 10));
-    let opening = Position::new(2, 10);
-    let begun = view([Position::new(1, 10), opening, Position::new(1, 9)], now(4));
+    let term_start = Position::new(2, 10);
+    let unconfirmed = view(
+        [Position::new(1, 10), term_start, Position::new(1, 9)],
+        now(4),
+    );
     assert_eq!(
-        machine.step(CommitEvent::View(&begun), now(4)),
+        machine.step(CommitEvent::View(&unconfirmed), now(4)),
         CommitAction::Wait
     );
 }
 
 #[test]
-fn a_term_start_seen_before_the_commit_proves_a_deposed_primary() {
-    let opening = Position::new(2, 10);
+fn a_term_start_observed_before_the_commit_proves_a_deposed_primary() {
+    let term_start = Position::new(2, 10);
     let mut starts = TermStarts::default();
-    starts.observe(&view([Position::new(1, 9), opening, opening], now(1)));
-    let mut machine = CommitMachine::new(WriteKind::Unkeyed, PATIENCE_END, CONFIRM_TIME, starts);
-    machine.step(CommitEvent::Begun, now(1));
+    starts.observe(&view([Position::new(1, 9), term_start, term_start], now(1)));
+    let mut machine =
+        CommitMachine::new(WriteKind::Unkeyed, START_DEADLINE, CONFIRM_TIMEOUT, starts);
+    machine.step(CommitEvent::Started, now(1));
     machine.step(CommitEvent::CommitSent, now(2));
     let position = Position::new(1, 12);
     machine.step(CommitEvent::Committed { position }, now(3));
@@ -141,40 +145,40 @@
         CommitEvent::View(&view([position, later, later], now(4))),
         now(4),
     );
-    let verdict = CommitVerdict::NotRun(Reason::LostWithDeposedPrimary);
-    assert_eq!(action, CommitAction::Finish(verdict));
+    let outcome = CommitOutcome::NotRun(Reason::LostWithDeposedPrimary);
+    assert_eq!(action, CommitAction::Finish(outcome));
 }
 
 #[test]
 fn an_unkeyed_write_is_never_attempted_twice() {
     for sent in [false, true] {
         let mut machine = machine(WriteKind::Unkeyed);
-        machine.step(CommitEvent::Begun, now(1));
+        machine.step(CommitEvent::Started, now(1));
         if sent {
             machine.step(CommitEvent::CommitSent, now(1));
         }
         let action = machine.step(CommitEvent::ConnectionLost, now(2));
-        let verdict = CommitVerdict::Unknown(Reason::ConnectionLost);
-        assert_eq!(action, CommitAction::Finish(verdict));
+        let outcome = CommitOutcome::Unknown(Reason::ConnectionLost);
+        assert_eq!(action, CommitAction::Finish(outcome));
     }
 }
 
 #[test]
-fn an_unkeyed_write_that_the_server_did_not_take_is_attempted_again() {
+fn an_unkeyed_write_that_the_server_rejects_is_attempted_again() {
     let mut machine = machine(WriteKind::Unkeyed);
-    machine.step(CommitEvent::Begun, now(1));
+    machine.step(CommitEvent::Started, now(1));
     let reason = Reason::NoPrimary;
-    let action = machine.step(CommitEvent::NotTaken { reason }, now(2));
+    let action = machine.step(CommitEvent::Rejected { reason }, now(2));
     assert_eq!(action, CommitAction::Attempt);
-    let action = machine.step(CommitEvent::Tick, PATIENCE_END);
-    let verdict = CommitVerdict::NotRun(Reason::NoPrimary);
-    assert_eq!(action, CommitAction::Finish(verdict));
+    let action = machine.step(CommitEvent::Tick, START_DEADLINE);
+    let outcome = CommitOutcome::NotRun(Reason::NoPrimary);
+    assert_eq!(action, CommitAction::Finish(outcome));
 }
 
 #[test]
 fn a_keyed_write_finds_the_row_of_its_earlier_attempt() {
     let mut machine = machine(WriteKind::Keyed);
-    machine.step(CommitEvent::Begun, now(1));
+    machine.step(CommitEvent::Started, now(1));
     machine.step(CommitEvent::CommitSent, now(2));
     let action = machine.step(CommitEvent::ConnectionLost, now(3));
     assert_eq!(action, CommitAction::Attempt);
@@ -188,65 +192,65 @@
     let action = machine.step(CommitEvent::View(&confirmed), now(5));
     assert_eq!(
         action,
-        CommitAction::Finish(CommitVerdict::Recorded { position })
+        CommitAction::Finish(CommitOutcome::Recorded { position })
     );
 }
 
 #[test]
 fn a_keyed_write_is_attempted_in_the_log_of_a_newer_term() {
     let mut machine = committed(WriteKind::Keyed, Position::new(1, 10));
-    let opening = Position::new(2, 11);
-    let replaced = view([Position::new(1, 10), opening, opening], now(4));
-    let action = machine.step(CommitEvent::View(&replaced), now(4));
+    let term_start = Position::new(2, 11);
+    let newer_term = view([Position::new(1, 10), term_start, term_start], now(4));
+    let action = machine.step(CommitEvent::View(&newer_term), now(4));
     assert_eq!(action, CommitAction::Attempt);
     // The fence says nothing of the first attempt.
     let action = machine.step(CommitEvent::Fenced, now(5));
-    let verdict = CommitVerdict::Unknown(Reason::CommitUnknown);
-    assert_eq!(action, CommitAction::Finish(verdict));
+    let outcome = CommitOutcome::Unknown(Reason::CommitUnknown);
+    assert_eq!(action, CommitAction::Finish(outcome));
 }
 
 #[test]
 fn a_keyed_transaction_is_settled_after_its_commit_was_lost() {
     let mut machine = machine(WriteKind::KeyedTransaction);
-    machine.step(CommitEvent::Begun, now(1));
+    machine.step(CommitEvent::Started, now(1));
     machine.step(CommitEvent::CommitSent, now(2));
     let action = machine.step(CommitEvent::ConnectionLost, now(3));
     assert_eq!(action, CommitAction::Settle);
     let position = Position::new(1, 20);
-    machine.step(CommitEvent::KeyWasFree { position }, now(4));
+    machine.step(CommitEvent::KeyAbsent { position }, now(4));
     let confirmed = view([position, position, position], now(5));
     let action = machine.step(CommitEvent::View(&confirmed), now(5));
-    let verdict = CommitVerdict::NotRun(Reason::TransactionLost);
-    assert_eq!(action, CommitAction::Finish(verdict));
+    let outcome = CommitOutcome::NotRun(Reason::TransactionLost);
+    assert_eq!(action, CommitAction::Finish(outcome));
 }
 
 #[test]
 fn a_transaction_lost_before_its_commit_did_not_run() {
     let mut machine = machine(WriteKind::Transaction);
-    machine.step(CommitEvent::Begun, now(1));
+    machine.step(CommitEvent::Started, now(1));
     let action = machine.step(CommitEvent::ConnectionLost, now(2));
-    let verdict = CommitVerdict::NotRun(Reason::TransactionLost);
-    assert_eq!(action, CommitAction::Finish(verdict));
+    let outcome = CommitOutcome::NotRun(Reason::TransactionLost);
+    assert_eq!(action, CommitAction::Finish(outcome));
 }
 
 #[test]
 fn a_write_without_records_needs_proof_that_the_server_was_the_primary() {
     let position = Position::new(1, 10);
-    let mut shown = machine(WriteKind::Unkeyed);
-    shown.step(CommitEvent::Begun, now(1));
-    shown.step(CommitEvent::CommittedWithoutWrite { position }, now(3));
-    let mut deposed = shown.clone();
+    let mut current = machine(WriteKind::Unkeyed);
+    current.step(CommitEvent::Started, now(1));
+    current.step(CommitEvent::CommittedWithoutWrite { position }, now(3));
+    let mut deposed = current.clone();
 
     let old = view([position; 3], now(2));
     assert_eq!(
-        shown.step(CommitEvent::View(&old), now(4)),
+        current.step(CommitEvent::View(&old), now(4)),
         CommitAction::Wait
     );
     let fresh = view([Position::new(1, 14); 3], now(4));
-    let action = shown.step(CommitEvent::View(&fresh), now(5));
+    let action = current.step(CommitEvent::View(&fresh), now(5));
     assert_eq!(
         action,
-        CommitAction::Finish(CommitVerdict::Done { position })
+        CommitAction::Finish(CommitOutcome::Done { position })
     );
 
     let newer = view(
@@ -254,6 +258,6 @@
         now(4),
     );
     let action = deposed.step(CommitEvent::View(&newer), now(5));
-    let verdict = CommitVerdict::NotRun(Reason::LostWithDeposedPrimary);
-    assert_eq!(action, CommitAction::Finish(verdict));
+    let outcome = CommitOutcome::NotRun(Reason::LostWithDeposedPrimary);
+    assert_eq!(action, CommitAction::Finish(outcome));
 }
--- a/crates/spurpier-core/tests/guarantees.rs
+++ b/crates/spurpier-core/tests/guarantees.rs
@@ -13,7 +13,7 @@
 
 const DEFAULT_SEED: u64 = 1;
 /// Its cases stop a primary just after cuts, whose silence may still depose that primary.
-const SEED_WITH_STOPS_AFTER_CUTS: u64 = 3;
+const SEED_WITH_STOPS_AFTER_PARTITIONS: u64 = 3;
 const DEFAULT_CASES: u64 = 256;
 
 struct Guarantees;
@@ -32,20 +32,20 @@
     }
 
     fn teardown(mut world: World, _: <Case as ReferenceStateMachine>::State) {
-        let violations = world.conclude();
+        let violations = world.finish_and_check();
         assert!(violations.is_empty(), "{violations:#?}");
     }
 }
 
-fn number_from(variable: &str, default: u64) -> u64 {
+fn env_number(variable: &str, default: u64) -> u64 {
     let text = std::env::var(variable).ok();
     text.map_or(default, |text| text.parse().expect("a number"))
 }
 
 fn config(default_seed: u64) -> Config {
     Config {
-        cases: number_from("PROOF_CASES", DEFAULT_CASES) as u32,
-        rng_seed: RngSeed::Fixed(number_from("PROOF_SEED", default_seed)),
+        cases: env_number("PROOF_CASES", DEFAULT_CASES) as u32,
+        rng_seed: RngSeed::Fixed(env_number("PROOF_SEED", default_seed)),
         failure_persistence: None,
         max_shrink_iters: 3_000,
         ..Config::default()
@@ -60,7 +60,7 @@
 }
 
 prop_state_machine! {
-    #![proptest_config(config(SEED_WITH_STOPS_AFTER_CUTS))]
+    #![proptest_config(config(SEED_WITH_STOPS_AFTER_PARTITIONS))]
 
     #[test]
     fn planned_stops_cut_nothing_after_two_failovers(sequential 40..160 => Guarantees);
--- a/crates/spurpier-core/tests/model/client.rs
+++ b/crates/spurpier-core/tests/model/client.rs
@@ -8,11 +8,11 @@
 };
 
 use super::network::MILLISECOND;
-use super::server::Key;
+use super::server::RequestKey;
 use super::world::{DATABASE, Event, ToNode, World};
 
-const REPEATS: u32 = 3;
-const REPEAT_AFTER: u64 = 40 * MILLISECOND;
+const MAX_RETRIES: u32 = 3;
+const RETRY_DELAY: u64 = 40 * MILLISECOND;
 
 /// What a client asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -36,7 +36,7 @@
     pub client: usize,
     pub kind: UnitKind,
     pub row_key: String,
-    pub key: Option<Key>,
+    pub key: Option<RequestKey>,
     pub writes: Vec<Write>,
     pub floors: ReadFloors,
     pub setting: u64,
@@ -64,7 +64,7 @@
     ConnectionLost {
         unit: u64,
     },
-    Repeat {
+    Retry {
         node: usize,
     },
 }
@@ -75,7 +75,7 @@
     node: usize,
     invoked_at: u64,
     statements_answered: u32,
-    repeats_left: u32,
+    retries_left: u32,
 }
 
 #[derive(Debug)]
@@ -84,9 +84,9 @@
     /// Whether it carries its position token to the next proxy.
     keeps_token: bool,
     floors: ReadFloors,
-    at: Option<(usize, u64)>,
+    connected_to: Option<(usize, u64)>,
     running: Option<Running>,
-    repeat: Option<Running>,
+    pending_retry: Option<Running>,
 }
 
 pub fn group(side: Side) -> GroupId {
@@ -106,16 +106,16 @@
             index,
             keeps_token: index.is_multiple_of(2),
             floors: ReadFloors::new(),
-            at: None,
+            connected_to: None,
             running: None,
-            repeat: None,
+            pending_retry: None,
         }
     }
 
     /// The floors that the proxy knows after the client has connected to it.
     fn connect(&mut self, node: usize, incarnation: u64) {
-        let at = Some((node, incarnation));
-        if self.at != at {
+        let connected_to = Some((node, incarnation));
+        if self.connected_to != connected_to {
             let token = self.floors.token().to_string();
             self.floors = ReadFloors::new();
             if self.keeps_token {
@@ -123,7 +123,7 @@
                 self.floors.raise_to(&token);
             }
         }
-        self.at = at;
+        self.connected_to = connected_to;
     }
 }
 
@@ -131,10 +131,10 @@
     /// A client starts a unit, unless it is busy.
     pub fn client_request(&mut self, client: usize, node: usize, work: Work) {
         let state = &self.clients[client];
-        if state.running.is_some() || state.repeat.is_some() {
+        if state.running.is_some() || state.pending_retry.is_some() {
             return;
         }
-        let number = self.fresh_number();
+        let number = self.unique_number();
         let write = |index: u32, row: u8| Write {
             row_key: format!("row-{row}"),
             value: format!("v{number}.{index}"),
@@ -161,7 +161,7 @@
             client,
             kind,
             row_key: format!("row-{row}"),
-            key: keyed.then(|| Key {
+            key: keyed.then(|| RequestKey {
                 name: format!("key-{number}"),
                 digest: number,
             }),
@@ -169,10 +169,10 @@
             floors: ReadFloors::new(),
             setting: client as u64 + 1,
         };
-        self.client_send(client, node, spec, REPEATS);
+        self.client_send(client, node, spec, MAX_RETRIES);
     }
 
-    fn client_send(&mut self, client: usize, node: usize, mut spec: UnitSpec, repeats_left: u32) {
+    fn client_send(&mut self, client: usize, node: usize, mut spec: UnitSpec, retries_left: u32) {
         let incarnation = self.nodes[node].incarnation;
         let state = &mut self.clients[client];
         state.connect(node, incarnation);
@@ -183,7 +183,7 @@
             node,
             invoked_at: self.now,
             statements_answered: 0,
-            repeats_left,
+            retries_left,
         });
         if !self.nodes[node].up {
             // The connection is refused, so nothing was sent.
@@ -200,17 +200,21 @@
             return;
         }
         self.send_to_node(client, node, ToNode::Open(Box::new(spec)));
-        let patience = if self.network.chance(4) { 250 } else { 3_000 };
-        self.after(patience * MILLISECOND, Event::ClientTimer { client, unit });
+        let timeout = if self.network.random_one_in(4) {
+            250
+        } else {
+            3_000
+        };
+        self.schedule_after(timeout * MILLISECOND, Event::ClientTimer { client, unit });
     }
 
     fn send_to_node(&mut self, client: usize, node: usize, body: ToNode) {
         let incarnation = self.nodes[node].incarnation;
         let delay = self
             .network
-            .arrival(self.now, u64::MAX - client as u64, true)
+            .arrival_time(self.now, u64::MAX - client as u64, true)
             - self.now;
-        self.after(
+        self.schedule_after(
             delay,
             Event::Node {
                 node,
@@ -223,9 +227,9 @@
     pub fn send_to_client(&mut self, client: usize, body: ToClient) {
         let delay = self
             .network
-            .arrival(self.now, u64::MAX - client as u64, false)
+            .arrival_time(self.now, u64::MAX - client as u64, false)
             - self.now;
-        self.after(delay, Event::Client { client, body });
+        self.schedule_after(delay, Event::Client { client, body });
     }
 
     /// The proxy is not there.
@@ -242,7 +246,7 @@
                 floor,
                 read,
             } => {
-                if self.client_runs(client, unit) {
+                if self.is_running(client, unit) {
                     if let Some((side, position)) = floor {
                         self.clients[client].floors.raise(&group(side), position);
                     }
@@ -250,37 +254,37 @@
                 }
             }
             ToClient::ConnectionLost { unit } => {
-                if self.client_runs(client, unit) {
+                if self.is_running(client, unit) {
                     self.client_finish(client, Outcome::Unknown, Some(self.now), None);
                 }
             }
-            ToClient::Repeat { node } => {
-                if let Some(running) = self.clients[client].repeat.take() {
+            ToClient::Retry { node } => {
+                if let Some(running) = self.clients[client].pending_retry.take() {
                     let mut spec = running.spec;
-                    spec.unit = self.fresh_number();
-                    self.client_send(client, node, spec, running.repeats_left - 1);
+                    spec.unit = self.unique_number();
+                    self.client_send(client, node, spec, running.retries_left - 1);
                 }
             }
         }
     }
 
-    fn client_runs(&self, client: usize, unit: u64) -> bool {
+    fn is_running(&self, client: usize, unit: u64) -> bool {
         let running = self.clients[client].running.as_ref();
         running.is_some_and(|running| running.spec.unit == unit)
     }
 
     fn client_statement_done(&mut self, client: usize, unit: u64) {
-        if !self.client_runs(client, unit) {
+        if !self.is_running(client, unit) {
             return;
         }
         let running = self.clients[client].running.as_mut().expect("it runs");
         running.statements_answered += 1;
         let commit = running.statements_answered as usize == running.spec.writes.len();
         let node = running.node;
-        let thinking = self.network.below(60 * MILLISECOND);
+        let think_time = self.network.random_below(60 * MILLISECOND);
         let incarnation = self.nodes[node].incarnation;
-        self.after(
-            thinking,
+        self.schedule_after(
+            think_time,
             Event::Node {
                 node,
                 incarnation,
@@ -290,12 +294,12 @@
     }
 
     pub fn client_timer(&mut self, client: usize, unit: u64) {
-        if !self.client_runs(client, unit) {
+        if !self.is_running(client, unit) {
             return;
         }
         let node = self.clients[client].running.as_ref().expect("it runs").node;
         self.send_to_node(client, node, ToNode::Abandon { unit });
-        self.clients[client].at = None;
+        self.clients[client].connected_to = None;
         self.client_finish(client, Outcome::Unknown, Some(self.now), None);
     }
 
@@ -309,23 +313,23 @@
         let Some(running) = self.clients[client].running.take() else {
             return;
         };
-        self.note_unit(&running, outcome, answered_at, read);
-        let repeats =
-            running.spec.key.is_some() && outcome != Outcome::Done && running.repeats_left > 0;
-        if repeats {
-            self.clients[client].repeat = Some(running);
-            let node = self.network.below(self.nodes.len() as u64) as usize;
-            self.after(
-                REPEAT_AFTER,
+        self.record_unit(&running, outcome, answered_at, read);
+        let should_retry =
+            running.spec.key.is_some() && outcome != Outcome::Done && running.retries_left > 0;
+        if should_retry {
+            self.clients[client].pending_retry = Some(running);
+            let node = self.network.random_below(self.nodes.len() as u64) as usize;
+            self.schedule_after(
+                RETRY_DELAY,
                 Event::Client {
                     client,
-                    body: ToClient::Repeat { node },
+                    body: ToClient::Retry { node },
                 },
             );
         }
     }
 
-    fn note_unit(
+    fn record_unit(
         &mut self,
         running: &Running,
         outcome: Outcome,
@@ -370,10 +374,10 @@
     }
 
     /// Notes the units that were never answered, at the end of a case.
-    pub fn note_unanswered(&mut self) {
+    pub fn record_unanswered(&mut self) {
         for client in 0..self.clients.len() {
             if let Some(running) = self.clients[client].running.take() {
-                self.note_unit(&running, Outcome::Unknown, None, None);
+                self.record_unit(&running, Outcome::Unknown, None, None);
             }
         }
     }
--- a/crates/spurpier-core/tests/model/group.rs
+++ b/crates/spurpier-core/tests/model/group.rs
@@ -12,13 +12,13 @@
 use super::world::{Event, TICK, World, servers_of};
 
 const MAJORITY: usize = ZONES / 2 + 1;
-const ELECTION_AFTER: u64 = 150 * MILLISECOND;
+const ELECTION_TIMEOUT: u64 = 150 * MILLISECOND;
 /// A leaving server waits this long for its clients to go elsewhere.
-const STOP_AFTER: u64 = 3_200 * MILLISECOND;
+const LEAVING_GRACE: u64 = 3_200 * MILLISECOND;
 /// A server that has heard of a primary this recently votes for no other.
-const LOYALTY: u64 = 100 * MILLISECOND;
+const VOTE_HOLDOFF: u64 = 100 * MILLISECOND;
 /// A server that has not heard of its primary for this long has missed a heartbeat.
-const HEARTBEAT_MISSED: u64 = 2 * TICK;
+const HEARTBEAT_TIMEOUT: u64 = 2 * TICK;
 /// What is left of a cut after its links are healed.
 const MISSED_HEARTBEATS: &str = "missed_heartbeats";
 
@@ -26,18 +26,18 @@
     /// Notes which servers a cut has kept from hearing their primary, just before it is healed.
     ///
     /// Their election timers ran on, so the cut may still depose the primary after the healing.
-    pub fn note_missed_heartbeats(&mut self) {
+    pub fn record_missed_heartbeats(&mut self) {
         if !self.network.cut.iter().flatten().any(|cut| *cut) {
             return;
         }
         let missed = self.servers.iter().filter(|server| {
             server.up
                 && server.role == ServerRole::Replica
-                && server.heard_at + HEARTBEAT_MISSED < self.now
+                && server.primary_heard_at + HEARTBEAT_TIMEOUT < self.now
         });
         let names: Vec<String> = missed.map(|server| server.name.clone()).collect();
         for name in names {
-            self.note_fault(MISSED_HEARTBEATS, FaultScope::Server(name));
+            self.record_fault(MISSED_HEARTBEATS, FaultScope::Server(name));
         }
     }
 
@@ -53,16 +53,16 @@
                 && fault.ended_at.is_none()
                 && names.contains(&fault.scope)
         });
-        let Some(noted_at) = open.map(|fault| fault.began_at).max() else {
+        let Some(recorded_at) = open.map(|fault| fault.began_at).max() else {
             return;
         };
         let mut running = servers.iter().filter(|server| server.up);
         let term = servers.iter().map(|server| server.vote_term).max();
-        let settled = running.all(|server| {
-            let heard = server.role == ServerRole::Primary || server.heard_at > noted_at;
+        let recovered = running.all(|server| {
+            let heard = server.role == ServerRole::Primary || server.primary_heard_at > recorded_at;
             Some(server.vote_term) == term && heard
         });
-        if settled {
+        if recovered {
             self.end_faults(|fault| {
                 fault.kind == MISSED_HEARTBEATS && names.contains(&fault.scope)
             });
@@ -78,14 +78,14 @@
             if self.servers[server].role == ServerRole::Primary {
                 self.replicate(server);
                 self.follow_other_side(server);
-                self.finish_planned_stop(server);
+                self.transfer_if_leaving(server);
             } else {
                 if self.servers[server].applying {
                     self.servers[server].apply_all();
                 }
                 self.stop_if_leaving(server);
-                let patience = ELECTION_AFTER + server as u64 * 35 * MILLISECOND;
-                if self.servers[server].heard_at + patience < self.now {
+                let timeout = ELECTION_TIMEOUT + server as u64 * 35 * MILLISECOND;
+                if self.servers[server].primary_heard_at + timeout < self.now {
                     self.try_election(server);
                 }
             }
@@ -98,7 +98,7 @@
             if to != from {
                 let log = Rc::clone(&self.servers[from].log);
                 let delay = self.network.delay();
-                self.after(
+                self.schedule_after(
                     delay,
                     Event::Replicate {
                         from,
@@ -114,7 +114,7 @@
     pub fn replicated(&mut self, from: usize, to: usize, term: u64, log: &Rc<Vec<Record>>) {
         if !self
             .network
-            .passes(self.servers[from].zone, self.servers[to].zone)
+            .can_send(self.servers[from].zone, self.servers[to].zone)
         {
             return;
         }
@@ -124,11 +124,11 @@
             return;
         }
         server.vote_term = term;
-        server.heard_at = now;
+        server.primary_heard_at = now;
         let newer = server.received()
             < Position::new(log.last().map_or(0, |last| last.term), log.len() as u64);
         if newer {
-            server.adopt(log);
+            server.replace_log(log);
         }
         self.step_down(to);
     }
@@ -146,22 +146,22 @@
         let zone = self.servers[candidate].zone;
         let received = self.servers[candidate].received();
         let reachable = servers_of(self.servers[candidate].side).filter(|other| {
-            self.servers[*other].up && self.network.both_ways(zone, self.servers[*other].zone)
+            self.servers[*other].up && self.network.can_exchange(zone, self.servers[*other].zone)
         });
         let newest = reachable.map(|other| self.servers[other].vote_term).max();
         let term = newest.unwrap_or(0) + 1;
         let voters: Vec<usize> = servers_of(self.servers[candidate].side)
             .filter(|voter| {
                 let server = &self.servers[*voter];
-                let reachable = self.network.both_ways(zone, server.zone);
+                let reachable = self.network.can_exchange(zone, server.zone);
                 let free = *voter == candidate
-                    || server.heard_at + LOYALTY < now
-                    || now < ELECTION_AFTER * 3;
-                let leads = server.role == ServerRole::Primary;
+                    || server.primary_heard_at + VOTE_HOLDOFF < now
+                    || now < ELECTION_TIMEOUT * 3;
+                let is_primary = server.role == ServerRole::Primary;
                 server.up
                     && reachable
                     && free
-                    && !leads
+                    && !is_primary
                     && server.vote_term < term
                     && server.received() <= received
             })
@@ -174,10 +174,10 @@
     fn elect(&mut self, candidate: usize, voters: &[usize], term: u64) {
         for voter in voters {
             self.servers[*voter].vote_term = term;
-            self.servers[*voter].heard_at = self.now;
+            self.servers[*voter].primary_heard_at = self.now;
             self.step_down(*voter);
         }
-        self.servers[candidate].lead(term, self.now);
+        self.servers[candidate].become_primary(term, self.now);
         self.replicate(candidate);
     }
 
@@ -188,7 +188,7 @@
             .connections
             .values()
             .all(|each| each.transaction.is_none() && each.requests.is_empty());
-        let announced = state.leaving_since + STOP_AFTER < self.now;
+        let announced = state.leaving_since + LEAVING_GRACE < self.now;
         if !state.leaving || !announced || !idle {
             return;
         }
@@ -207,17 +207,18 @@
     }
 
     /// A leaving primary hands over to a server that has all of its log.
-    fn finish_planned_stop(&mut self, server: usize) {
+    fn transfer_if_leaving(&mut self, server: usize) {
         if !self.servers[server].leaving || self.servers[server].has_open_transactions() {
             return;
         }
         let (zone, received) = (self.servers[server].zone, self.servers[server].received());
         let reachable: Vec<usize> = servers_of(self.servers[server].side)
             .filter(|other| {
-                self.servers[*other].up && self.network.both_ways(zone, self.servers[*other].zone)
+                self.servers[*other].up
+                    && self.network.can_exchange(zone, self.servers[*other].zone)
             })
             .collect();
-        let heir = reachable.iter().copied().find(|other| {
+        let successor = reachable.iter().copied().find(|other| {
             *other != server
                 && !self.servers[*other].leaving
                 && self.servers[*other].received() == received
@@ -226,10 +227,10 @@
         let free = reachable
             .iter()
             .all(|voter| self.servers[*voter].vote_term < term);
-        if let Some(heir) = heir.filter(|_| free && reachable.len() >= MAJORITY) {
+        if let Some(successor) = successor.filter(|_| free && reachable.len() >= MAJORITY) {
             // No transaction is open, so no connection need be dropped.
             self.servers[server].role = ServerRole::Replica;
-            self.elect(heir, &reachable, term);
+            self.elect(successor, &reachable, term);
         }
     }
 
@@ -242,12 +243,12 @@
         state.up = true;
         state.leaving = false;
         state.role = ServerRole::Replica;
-        state.heard_at = self.now;
-        let note = BackEndEvent::Returned {
+        state.primary_heard_at = self.now;
+        let event = BackEndEvent::Returned {
             at: self.now,
             server: state.name.clone(),
         };
-        self.history.back_end.push(note);
+        self.history.back_end.push(event);
     }
 
     /// The new side copies what a majority of the old side holds, until its fence opens.
@@ -258,7 +259,8 @@
         let zone = self.servers[server].zone;
         let sources: Vec<usize> = servers_of(Side::Old)
             .filter(|source| {
-                self.servers[*source].up && self.network.both_ways(zone, self.servers[*source].zone)
+                self.servers[*source].up
+                    && self.network.can_exchange(zone, self.servers[*source].zone)
             })
             .collect();
         let primaries = sources
@@ -268,13 +270,17 @@
             return;
         };
         let received = self.servers[leader].received();
-        let mut held: Vec<u64> = servers_of(Side::Old)
+        let mut offsets: Vec<u64> = servers_of(Side::Old)
             .map(|source| self.servers[source].received())
             .filter(|position| position.term == received.term)
             .map(|position| position.offset)
             .collect();
-        held.sort_unstable();
-        let Some(confirmed) = held.len().checked_sub(MAJORITY).map(|index| held[index]) else {
+        offsets.sort_unstable();
+        let Some(confirmed) = offsets
+            .len()
+            .checked_sub(MAJORITY)
+            .map(|index| offsets[index])
+        else {
             return;
         };
         let from = self.servers[server].tables.upstream.offset as usize;
--- a/crates/spurpier-core/tests/model/mod.rs
+++ b/crates/spurpier-core/tests/model/mod.rs
@@ -40,7 +40,7 @@
     /// Writes do not check the fence.
     FenceIgnored,
     /// A node takes whatever policy version it hears of.
-    PolicyMayFall,
+    PolicyVersionMayDecrease,
     /// Reads do not heed a fence that shows a newer policy.
     ReadsIgnoreFence,
     /// A restarted node serves by the first policy version that it hears of.
--- a/crates/spurpier-core/tests/model/network.rs
+++ b/crates/spurpier-core/tests/model/network.rs
@@ -7,7 +7,7 @@
 
 pub const ZONES: usize = 3;
 pub const MILLISECOND: u64 = 1_000;
-const LATE_MICROS: u64 = 400 * MILLISECOND;
+const MAX_LATE_DELAY: u64 = 400 * MILLISECOND;
 
 #[derive(Debug)]
 pub struct Network {
@@ -30,32 +30,32 @@
         }
     }
 
-    pub fn passes(&self, from: usize, to: usize) -> bool {
+    pub fn can_send(&self, from: usize, to: usize) -> bool {
         !self.cut[from][to]
     }
 
-    pub fn both_ways(&self, one: usize, other: usize) -> bool {
-        self.passes(one, other) && self.passes(other, one)
+    pub fn can_exchange(&self, one: usize, other: usize) -> bool {
+        self.can_send(one, other) && self.can_send(other, one)
     }
 
-    pub fn chance(&mut self, one_in: u32) -> bool {
+    pub fn random_one_in(&mut self, one_in: u32) -> bool {
         self.random.random_range(0..one_in) == 0
     }
 
-    pub fn below(&mut self, bound: u64) -> u64 {
+    pub fn random_below(&mut self, bound: u64) -> u64 {
         self.random.random_range(0..bound)
     }
 
     pub fn delay(&mut self) -> u64 {
         let usual = self.random.random_range(200..2_000);
-        if self.late && self.chance(5) {
-            return usual + self.below(LATE_MICROS);
+        if self.late && self.random_one_in(5) {
+            return usual + self.random_below(MAX_LATE_DELAY);
         }
         usual
     }
 
     /// When a message that leaves now arrives, behind the earlier ones of its connection.
-    pub fn arrival(&mut self, now: u64, connection: u64, towards_server: bool) -> u64 {
+    pub fn arrival_time(&mut self, now: u64, connection: u64, towards_server: bool) -> u64 {
         let delay = self.delay();
         let last = self
             .arrivals
--- a/crates/spurpier-core/tests/model/node/connections.rs
+++ b/crates/spurpier-core/tests/model/node/connections.rs
@@ -14,8 +14,8 @@
         let setting = self.nodes[node].units[&unit].spec.setting;
         let server = servers_of(self.nodes[node].units[&unit].side).start + index;
         let connection = self.nodes[node].units[&unit].connection;
-        let connection =
-            connection.unwrap_or_else(|| self.lease(node, server, setting, &mut statements));
+        let connection = connection
+            .unwrap_or_else(|| self.acquire_connection(node, server, setting, &mut statements));
         let state = &mut self.nodes[node];
         state.units.get_mut(&unit).expect("it is there").connection = Some(connection);
         let leased = state
@@ -26,7 +26,7 @@
         self.send_request(node, server, connection, statements.into());
     }
 
-    pub(super) fn lease(
+    pub(super) fn acquire_connection(
         &mut self,
         node: usize,
         server: usize,
@@ -44,7 +44,7 @@
             return *number;
         }
         statements.insert(0, Statement::Set { value: setting });
-        let number = self.fresh_number();
+        let number = self.unique_number();
         let connection = NodeConnection {
             server,
             setting,
@@ -56,7 +56,7 @@
     }
 
     /// A connection that is clean and idle serves the next unit.
-    pub(super) fn give_back(&mut self, node: usize, unit: u64) {
+    pub(super) fn release_connection(&mut self, node: usize, unit: u64) {
         let state = &mut self.nodes[node];
         let connection = state
             .units
@@ -73,7 +73,7 @@
         }
     }
 
-    pub(super) fn connection_lost(&mut self, node: usize, connection: u64) {
+    pub(super) fn handle_connection_lost(&mut self, node: usize, connection: u64) {
         let Some(state) = self.nodes[node].connections.remove(&connection) else {
             return;
         };
@@ -105,7 +105,7 @@
         self.step_machine(node, unit, &CommitEvent::ConnectionLost);
     }
 
-    pub(super) fn answer(&mut self, node: usize, connection: u64, mut replies: Vec<Reply>) {
+    pub(super) fn handle_answer(&mut self, node: usize, connection: u64, mut replies: Vec<Reply>) {
         let Some(state) = self.nodes[node].connections.get_mut(&connection) else {
             return;
         };
@@ -113,7 +113,7 @@
             return;
         };
         if unit == HANDOVER_UNIT {
-            self.handover_answered(node, connection, &replies);
+            self.handle_handover_replies(node, connection, &replies);
             return;
         }
         if matches!(replies.first(), Some(Reply::Ok)) && replies.len() > 1 {
@@ -125,9 +125,9 @@
             .get(&unit)
             .is_some_and(|running| running.machine.is_some())
         {
-            self.write_answered(node, unit, &replies);
+            self.handle_write_replies(node, unit, &replies);
         } else {
-            self.read_answered(node, unit, replies);
+            self.handle_read_replies(node, unit, replies);
         }
     }
 }
--- a/crates/spurpier-core/tests/model/node/handover.rs
+++ b/crates/spurpier-core/tests/model/node/handover.rs
@@ -22,20 +22,22 @@
         handover.handle_event(&HandoverEvent::SourceView(&old));
         let action = handover.handle_event(&HandoverEvent::TargetView(&new));
         state.handover = Some(handover);
-        if state.handover_asked_at + HANDOVER_EVERY > self.now {
+        if state.handover_sent_at + HANDOVER_INTERVAL > self.now {
             return;
         }
-        state.handover_asked_at = self.now;
+        state.handover_sent_at = self.now;
         match action {
             HandoverAction::ReadFence => {
-                let statements = vec![Statement::Status, Statement::LookAtFence, Statement::Status];
-                self.handover_ask(node, Side::New, statements);
-            }
-            HandoverAction::RaiseFence(epoch) => {
-                self.handover_ask(node, Side::Old, vec![Statement::RaiseFence { epoch }])
+                let statements = vec![Statement::Status, Statement::ReadFence, Statement::Status];
+                self.send_handover_statements(node, Side::New, statements);
             }
+            HandoverAction::RaiseFence(epoch) => self.send_handover_statements(
+                node,
+                Side::Old,
+                vec![Statement::RaiseFence { epoch }],
+            ),
             HandoverAction::OpenFence(epoch) => {
-                self.handover_ask(node, Side::New, vec![Statement::OpenFence { epoch }])
+                self.send_handover_statements(node, Side::New, vec![Statement::OpenFence { epoch }])
             }
             // Every node probes both sides all the time.
             HandoverAction::ProbeSource
@@ -45,10 +47,15 @@
         }
     }
 
-    pub(super) fn handover_ask(&mut self, node: usize, side: Side, mut statements: Vec<Statement>) {
+    pub(super) fn send_handover_statements(
+        &mut self,
+        node: usize,
+        side: Side,
+        mut statements: Vec<Statement>,
+    ) {
         if let Route::Server(index) = route_write(self.nodes[node].view(side), self.timestamp()) {
             let server = servers_of(side).start + index;
-            let connection = self.lease(node, server, 0, &mut statements);
+            let connection = self.acquire_connection(node, server, 0, &mut statements);
             let leased = self.nodes[node]
                 .connections
                 .get_mut(&connection)
@@ -58,7 +65,12 @@
         }
     }
 
-    pub(super) fn handover_answered(&mut self, node: usize, connection: u64, replies: &[Reply]) {
+    pub(super) fn handle_handover_replies(
+        &mut self,
+        node: usize,
+        connection: u64,
+        replies: &[Reply],
+    ) {
         let state = &mut self.nodes[node];
         let Some(connection) = state.connections.get_mut(&connection) else {
             return;
--- a/crates/spurpier-core/tests/model/node/mod.rs
+++ b/crates/spurpier-core/tests/model/node/mod.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use spurpier_core::commit::{CommitAction, CommitEvent, CommitMachine, CommitVerdict, WriteKind};
+use spurpier_core::commit::{CommitAction, CommitEvent, CommitMachine, CommitOutcome, WriteKind};
 use spurpier_core::group::{GroupView, ObservedStatus, ServerStatus, ServerView};
 use spurpier_core::group_history::GroupHistory;
 use spurpier_core::handover::{Handover, HandoverAction, HandoverEvent, HandoverStep};
@@ -32,16 +32,16 @@
 
 use writes::write_kind;
 
-const PATIENCE: Duration = Duration::from_millis(1_200);
-const CONFIRM_TIME: Duration = Duration::from_millis(1_500);
-const HANDOVER_EVERY: u64 = 100 * MILLISECOND;
+const UNIT_TIMEOUT: Duration = Duration::from_millis(1_200);
+const CONFIRM_TIMEOUT: Duration = Duration::from_millis(1_500);
+const HANDOVER_INTERVAL: u64 = 100 * MILLISECOND;
 /// A stopping node answers what clients had sent before they heard of the stop.
-const DRAIN_AT_LEAST: u64 = 100 * MILLISECOND;
-const PROBE_EVERY: u64 = 50 * MILLISECOND;
-const UNREACHABLE_AFTER: u64 = 120 * MILLISECOND;
+const MIN_DRAIN: u64 = 100 * MILLISECOND;
+const PROBE_INTERVAL: u64 = 50 * MILLISECOND;
+const UNREACHABLE_TIMEOUT: u64 = 120 * MILLISECOND;
 /// Stands for the handover among the units whose answers are outstanding.
 const HANDOVER_UNIT: u64 = 0;
-const REPLICA_WAIT: Duration = Duration::from_millis(30);
+const MAX_REPLICA_WAIT: Duration = Duration::from_millis(30);
 
 /// What a node knows of a group.
 #[derive(Debug)]
@@ -106,12 +106,12 @@
     pub spread: Spread<OwnedDocument>,
     gate: StartGate,
     /// Whether the gate at the start is taken out.
-    pub ungated: bool,
+    pub gate_disabled: bool,
     /// The version in force where the mechanism is taken out.
-    pub broken_policy: Option<u64>,
+    pub unchecked_policy: Option<u64>,
     watches: [Watch; 2],
     handover: Option<Handover>,
-    handover_asked_at: u64,
+    handover_sent_at: u64,
     units: BTreeMap<u64, Running>,
     connections: BTreeMap<u64, NodeConnection>,
     probed_at: u64,
@@ -148,11 +148,11 @@
             deferred: VecDeque::new(),
             spread: Spread::new(OwnedDocument::default(), Arc::default(), zone as u64),
             gate: StartGate::default(),
-            ungated: false,
-            broken_policy: None,
+            gate_disabled: false,
+            unchecked_policy: None,
             watches: [watch(), watch()],
             handover: None,
-            handover_asked_at: 0,
+            handover_sent_at: 0,
             units: BTreeMap::new(),
             connections: BTreeMap::new(),
             probed_at: 0,
@@ -173,20 +173,21 @@
 
     /// Forgets everything, as a process that was started anew.
     pub fn restart(&mut self) {
-        let ungated = self.ungated;
+        let gate_disabled = self.gate_disabled;
         *self = Node {
             incarnation: self.incarnation + 1,
-            ungated,
+            gate_disabled,
             ..Node::new(self.zone)
         };
     }
 
     /// The policy version in force; none until the node has learnt one.
     fn policy(&self) -> Option<u64> {
-        let version = self.broken_policy.unwrap_or(self.spread.version());
+        let version = self.unchecked_policy.unwrap_or(self.spread.version());
         let known = self.spread.version() > 0;
-        let serves =
-            known && (self.gate.may_serve(self.spread.version()) || self.ungated) && !self.draining;
+        let serves = known
+            && (self.gate.may_serve(self.spread.version()) || self.gate_disabled)
+            && !self.draining;
         serves.then_some(version)
     }
 }
@@ -208,7 +209,7 @@
         self.nodes[node].up = false;
     }
 
-    pub fn node_handle(&mut self, node: usize, body: ToNode) {
+    pub fn handle_node_message(&mut self, node: usize, body: ToNode) {
         match body {
             ToNode::Open(spec) => self.open_unit(node, *spec),
             ToNode::Next { unit, commit } => self.next_statement(node, unit, commit),
@@ -216,13 +217,13 @@
             ToNode::Answer {
                 connection,
                 replies,
-            } => self.answer(node, connection, replies),
-            ToNode::ConnectionLost { connection } => self.connection_lost(node, connection),
+            } => self.handle_answer(node, connection, replies),
+            ToNode::ConnectionLost { connection } => self.handle_connection_lost(node, connection),
             ToNode::Probe {
                 server,
                 asked_at,
                 status,
-            } => self.probe_answered(node, server, asked_at, *status),
+            } => self.handle_probe_reply(node, server, asked_at, *status),
             ToNode::PeerVersion { peer, version } => {
                 let peer = NodeKey(peer as u64);
                 self.spread_event(node, SpreadEvent::PeerVersion { peer, version });
@@ -237,10 +238,10 @@
     }
 
     pub fn node_tick(&mut self, node: usize) {
-        if self.nodes[node].probed_at + PROBE_EVERY <= self.now {
+        if self.nodes[node].probed_at + PROBE_INTERVAL <= self.now {
             self.probe_all(node);
         }
-        self.note_unreachable(node);
+        self.update_reachability(node);
         self.spread_event(node, SpreadEvent::Watching(true));
         self.drive_handover(node);
         let now = self.timestamp();
@@ -248,9 +249,9 @@
         for unit in units {
             self.step_machine(node, unit, &CommitEvent::Tick);
             self.progress(node, unit);
-            self.end_overdue_read(node, unit, now);
+            self.time_out_read(node, unit, now);
         }
-        let announced = self.nodes[node].draining_since + DRAIN_AT_LEAST < self.now;
+        let announced = self.nodes[node].draining_since + MIN_DRAIN < self.now;
         if self.nodes[node].draining && announced && self.nodes[node].units.is_empty() {
             self.stop_node(node);
         }
@@ -273,7 +274,7 @@
         }
     }
 
-    pub(super) fn note_unreachable(&mut self, node: usize) {
+    pub(super) fn update_reachability(&mut self, node: usize) {
         let now = self.now;
         let watches = self.nodes[node].watches.iter_mut();
         for server in watches.flat_map(|watch| &mut watch.view.servers) {
@@ -282,11 +283,11 @@
                 .as_ref()
                 .map(|observed| observed.requested_at);
             server.reachable =
-                asked_at.is_some_and(|asked_at| asked_at.as_micros() + UNREACHABLE_AFTER > now);
+                asked_at.is_some_and(|asked_at| asked_at.as_micros() + UNREACHABLE_TIMEOUT > now);
         }
     }
 
-    pub(super) fn probe_answered(
+    pub(super) fn handle_probe_reply(
         &mut self,
         node: usize,
         server: usize,
--- a/crates/spurpier-core/tests/model/node/reads.rs
+++ b/crates/spurpier-core/tests/model/node/reads.rs
@@ -14,7 +14,7 @@
             ..ServerLoad::default()
         };
         let waited = self.timestamp().since(running.arrived);
-        let replica_wait = REPLICA_WAIT.saturating_sub(waited);
+        let replica_wait = MAX_REPLICA_WAIT.saturating_sub(waited);
         let zone = zone_name(self.nodes[node].zone);
         let Route::Server(index) = route_read(
             view,
@@ -41,12 +41,12 @@
             node,
             unit,
             index,
-            vec![read, Statement::LookAtFence, Statement::Status],
+            vec![read, Statement::ReadFence, Statement::Status],
         );
     }
 
-    pub(super) fn read_answered(&mut self, node: usize, unit: u64, replies: Vec<Reply>) {
-        self.give_back(node, unit);
+    pub(super) fn handle_read_replies(&mut self, node: usize, unit: u64, replies: Vec<Reply>) {
+        self.release_connection(node, unit);
         let Some(running) = self.nodes[node].units.get_mut(&unit) else {
             return;
         };
@@ -64,8 +64,8 @@
             running.stage = Stage::AwaitServer;
             return;
         };
-        let unheeded = self.breakage == Breakage::ReadsIgnoreFence;
-        if running.placement.is_superseded_by(epoch) && !unheeded {
+        let ignores_fence = self.breakage == Breakage::ReadsIgnoreFence;
+        if running.placement.is_superseded_by(epoch) && !ignores_fence {
             self.finish(node, unit, Outcome::NotRun, None, None);
             return;
         }
@@ -88,11 +88,11 @@
         }
     }
 
-    pub(super) fn end_overdue_read(&mut self, node: usize, unit: u64, now: Timestamp) {
+    pub(super) fn time_out_read(&mut self, node: usize, unit: u64, now: Timestamp) {
         let Some(running) = self.nodes[node].units.get(&unit) else {
             return;
         };
-        if running.machine.is_none() && now.since(running.arrived) > PATIENCE {
+        if running.machine.is_none() && now.since(running.arrived) > UNIT_TIMEOUT {
             self.finish(node, unit, Outcome::NotRun, None, None);
         }
     }
--- a/crates/spurpier-core/tests/model/node/units.rs
+++ b/crates/spurpier-core/tests/model/node/units.rs
@@ -5,7 +5,7 @@
 impl World {
     pub(super) fn open_unit(&mut self, node: usize, spec: UnitSpec) {
         let Some(version) = self.nodes[node].policy() else {
-            self.finish_with(&spec, Outcome::NotRun, None, None);
+            self.send_outcome(&spec, Outcome::NotRun, None, None);
             return;
         };
         let proxy = self.nodes[node].name();
@@ -19,7 +19,7 @@
         // A session that has been on the new side knows of a newer policy than this node.
         let behind_session = side == Side::Old && spec.floors.floor(&group(Side::New)).is_some();
         if behind_session && self.breakage != Breakage::ReadsIgnoreFence {
-            self.finish_with(&spec, Outcome::NotRun, None, None);
+            self.send_outcome(&spec, Outcome::NotRun, None, None);
             return;
         }
         let now = self.timestamp();
@@ -39,7 +39,7 @@
         };
         let machine = write_kind(&spec).map(|kind| {
             let starts = self.nodes[node].watch(side).history.term_starts().clone();
-            CommitMachine::new(kind, now + PATIENCE, CONFIRM_TIME, starts)
+            CommitMachine::new(kind, now + UNIT_TIMEOUT, CONFIRM_TIMEOUT, starts)
         });
         let needs_index = machine.is_none() && (fresh || floor.is_none());
         // Until the new side is open, it may lack writes of the old one.
@@ -168,10 +168,10 @@
         if let Some(connection) = running.connection {
             self.close(node, connection);
         }
-        self.finish_with(&running.spec, outcome, floor, read);
+        self.send_outcome(&running.spec, outcome, floor, read);
     }
 
-    pub(super) fn finish_with(
+    pub(super) fn send_outcome(
         &mut self,
         spec: &UnitSpec,
         outcome: Outcome,
--- a/crates/spurpier-core/tests/model/node/writes.rs
+++ b/crates/spurpier-core/tests/model/node/writes.rs
@@ -30,7 +30,7 @@
         running.stage = Stage::Running;
         running.inserted = 1;
         self.send(node, unit, index, statements);
-        self.step_machine(node, unit, &CommitEvent::Begun);
+        self.step_machine(node, unit, &CommitEvent::Started);
         if commits {
             self.step_machine(node, unit, &CommitEvent::CommitSent);
         }
@@ -58,13 +58,13 @@
         }
     }
 
-    pub(super) fn write_answered(&mut self, node: usize, unit: u64, replies: &[Reply]) {
+    pub(super) fn handle_write_replies(&mut self, node: usize, unit: u64, replies: &[Reply]) {
         let refusal = replies.iter().find(|reply| !matches!(reply, Reply::Ok));
         let Some(reply) = refusal else {
-            self.insert_answered(node, unit);
+            self.handle_insert_replies(node, unit);
             return;
         };
-        self.give_back(node, unit);
+        self.release_connection(node, unit);
         match reply {
             Reply::Committed { position } => {
                 let position = *position;
@@ -89,21 +89,21 @@
                     },
                 );
             }
-            Reply::KeyWasFree { position } => {
+            Reply::KeyAbsent { position } => {
                 let position = *position;
-                self.step_machine(node, unit, &CommitEvent::KeyWasFree { position });
+                self.step_machine(node, unit, &CommitEvent::KeyAbsent { position });
             }
             Reply::Fenced => self.step_machine(node, unit, &CommitEvent::Fenced),
-            Reply::NotTaken => {
+            Reply::Rejected => {
                 let reason = Reason::NoPrimary;
-                self.step_machine(node, unit, &CommitEvent::NotTaken { reason });
+                self.step_machine(node, unit, &CommitEvent::Rejected { reason });
             }
             _ => self.step_machine(node, unit, &CommitEvent::ConnectionLost),
         }
     }
 
     /// The statements before COMMIT were answered.
-    pub(super) fn insert_answered(&mut self, node: usize, unit: u64) {
+    pub(super) fn handle_insert_replies(&mut self, node: usize, unit: u64) {
         let running = self.nodes[node].units.get_mut(&unit).expect("it is there");
         if running.spec.kind == UnitKind::Transaction {
             running.stage = Stage::AwaitClient;
@@ -134,13 +134,13 @@
             }
             CommitAction::Probe => self.probe_all(node),
             CommitAction::Wait => {}
-            CommitAction::Finish(verdict) => {
-                let (outcome, position) = match verdict {
-                    CommitVerdict::Done { position } | CommitVerdict::Recorded { position } => {
+            CommitAction::Finish(commit_outcome) => {
+                let (outcome, position) = match commit_outcome {
+                    CommitOutcome::Done { position } | CommitOutcome::Recorded { position } => {
                         (Outcome::Done, Some((side, position)))
                     }
-                    CommitVerdict::RolledBack | CommitVerdict::NotRun(_) => (Outcome::NotRun, None),
-                    CommitVerdict::Unknown(_) => (Outcome::Unknown, None),
+                    CommitOutcome::RolledBack | CommitOutcome::NotRun(_) => (Outcome::NotRun, None),
+                    CommitOutcome::Unknown(_) => (Outcome::Unknown, None),
                 };
                 self.finish(node, unit, outcome, position, None);
             }
--- a/crates/spurpier-core/tests/model/platform.rs
+++ b/crates/spurpier-core/tests/model/platform.rs
@@ -17,9 +17,9 @@
 use super::network::MILLISECOND;
 use super::world::{DATABASE, Event, ToNode, World};
 
-const CALL: u64 = 5 * MILLISECOND;
-const GIVE_UP: u64 = 300 * MILLISECOND;
-const GOSSIP_EVERY: u64 = 100 * MILLISECOND;
+const CALL_DURATION: u64 = 5 * MILLISECOND;
+const CALL_TIMEOUT: u64 = 300 * MILLISECOND;
+const GOSSIP_INTERVAL: u64 = 100 * MILLISECOND;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum PlatformFault {
@@ -104,11 +104,11 @@
         };
         let (publish, action) = Publish::start(request);
         self.platform.operators.push(publish);
-        self.operator_act(operator, action);
+        self.perform_operator_action(operator, action);
     }
 
     fn answer_operator(&mut self, operator: usize, delay: u64, event: PublishEvent) {
-        self.after(
+        self.schedule_after(
             delay,
             Event::Operator {
                 operator,
@@ -118,20 +118,20 @@
     }
 
     /// How long a call to the platform takes; none when it fails.
-    fn call(&mut self) -> Option<u64> {
+    fn call_duration(&mut self) -> Option<u64> {
         match self.platform.fault {
             PlatformFault::Down => None,
-            PlatformFault::Slow => Some(CALL + self.network.below(GIVE_UP)),
-            PlatformFault::None | PlatformFault::EffectWithoutAnswer => Some(CALL),
+            PlatformFault::Slow => Some(CALL_DURATION + self.network.random_below(CALL_TIMEOUT)),
+            PlatformFault::None | PlatformFault::EffectWithoutAnswer => Some(CALL_DURATION),
         }
     }
 
-    fn operator_act(&mut self, operator: usize, action: PublishAction) {
-        let call = self.call();
+    fn perform_operator_action(&mut self, operator: usize, action: PublishAction) {
+        let call = self.call_duration();
         let failed = || ReadFailed {
             why: "down".to_owned(),
         };
-        let delay = call.unwrap_or(CALL);
+        let delay = call.unwrap_or(CALL_DURATION);
         let event = match action {
             PublishAction::Finish(outcome) => {
                 if let PublishOutcome::Accepted { head, .. } = outcome {
@@ -164,14 +164,14 @@
                 head_row_version,
                 head,
             } => {
-                self.operator_transacts(operator, call, head_row_version, head);
+                self.send_operator_transaction(operator, call, head_row_version, head);
                 return;
             }
         };
         self.answer_operator(operator, delay, event);
     }
 
-    fn operator_transacts(
+    fn send_operator_transaction(
         &mut self,
         operator: usize,
         call: Option<u64>,
@@ -181,19 +181,19 @@
         let Some(delay) = call else {
             self.answer_operator(
                 operator,
-                CALL,
+                CALL_DURATION,
                 PublishEvent::Transacted(TransactAnswer::NotDone),
             );
             return;
         };
-        let lost =
-            self.platform.fault == PlatformFault::EffectWithoutAnswer && self.network.chance(2);
+        let lost = self.platform.fault == PlatformFault::EffectWithoutAnswer
+            && self.network.random_one_in(2);
         let mut effect_after = delay;
         if lost {
-            effect_after = self.network.below(2 * GIVE_UP);
+            effect_after = self.network.random_below(2 * CALL_TIMEOUT);
             self.answer_operator(
                 operator,
-                GIVE_UP,
+                CALL_TIMEOUT,
                 PublishEvent::Transacted(TransactAnswer::Unknown),
             );
         }
@@ -202,14 +202,14 @@
             head,
             answered: !lost,
         };
-        self.after(effect_after, Event::Operator { operator, body });
+        self.schedule_after(effect_after, Event::Operator { operator, body });
     }
 
     pub fn operator_event(&mut self, operator: usize, body: ToOperator) {
         match body {
             ToOperator::Answer(event) => {
                 let action = self.platform.operators[operator].step(event);
-                self.operator_act(operator, action);
+                self.perform_operator_action(operator, action);
             }
             ToOperator::Transact {
                 head_row_version,
@@ -229,7 +229,7 @@
                     });
                 }
                 if answered {
-                    self.answer_operator(operator, CALL, PublishEvent::Transacted(answer));
+                    self.answer_operator(operator, CALL_DURATION, PublishEvent::Transacted(answer));
                 }
             }
         }
@@ -237,7 +237,7 @@
 
     /// Nodes tell random peers their policy version, as their membership messages do.
     pub fn platform_tick(&mut self) {
-        if self.platform.gossiped_at + GOSSIP_EVERY > self.now {
+        if self.platform.gossiped_at + GOSSIP_INTERVAL > self.now {
             return;
         }
         self.platform.gossiped_at = self.now;
@@ -245,7 +245,7 @@
             let node = &self.nodes[from];
             if node.up && !node.frozen {
                 let version = node.spread.version();
-                let to = self.network.below(self.nodes.len() as u64) as usize;
+                let to = self.network.random_below(self.nodes.len() as u64) as usize;
                 self.send_peer(
                     from,
                     to,
@@ -263,11 +263,11 @@
         if from != to
             && self
                 .network
-                .passes(self.nodes[from].zone, self.nodes[to].zone)
+                .can_send(self.nodes[from].zone, self.nodes[to].zone)
         {
             let incarnation = self.nodes[to].incarnation;
             let delay = self.network.delay();
-            self.after(
+            self.schedule_after(
                 delay,
                 Event::Node {
                     node: to,
@@ -280,10 +280,10 @@
 
     pub fn spread_event(&mut self, node: usize, event: SpreadEvent) {
         let now = Timestamp::from_micros(self.now);
-        if let (Breakage::PolicyMayFall, SpreadEvent::PeerVersion { version, .. }) =
+        if let (Breakage::PolicyVersionMayDecrease, SpreadEvent::PeerVersion { version, .. }) =
             (self.breakage, &event)
         {
-            self.nodes[node].broken_policy = Some(*version);
+            self.nodes[node].unchecked_policy = Some(*version);
         }
         for action in self.nodes[node].spread.handle(now, event) {
             self.spread_act(node, action);
@@ -309,7 +309,7 @@
             SpreadAction::ReadHead => {
                 let version = self.platform.version();
                 let answer = self
-                    .call()
+                    .call_duration()
                     .map(|_| version)
                     .ok_or_else(ReadFailure::default);
                 self.answer_node(node, SpreadEvent::HeadRead(answer));
@@ -319,7 +319,10 @@
                 let text = placement_text(&self.platform.placement(version));
                 let entries = vec![(Arc::from(DATABASE), Arc::from(text))];
                 let whole = FetchedChanges::Whole { version, entries };
-                let answer = self.call().map(|_| whole).ok_or_else(ReadFailure::default);
+                let answer = self
+                    .call_duration()
+                    .map(|_| whole)
+                    .ok_or_else(ReadFailure::default);
                 self.answer_node(node, SpreadEvent::ChangesFetched(answer));
             }
             SpreadAction::Installed { .. } => {}
@@ -328,8 +331,8 @@
 
     fn answer_node(&mut self, node: usize, event: SpreadEvent) {
         let incarnation = self.nodes[node].incarnation;
-        let delay = self.call().unwrap_or(CALL);
-        self.after(
+        let delay = self.call_duration().unwrap_or(CALL_DURATION);
+        self.schedule_after(
             delay,
             Event::Node {
                 node,
--- a/crates/spurpier-core/tests/model/server.rs
+++ b/crates/spurpier-core/tests/model/server.rs
@@ -10,7 +10,7 @@
 
 /// A request key and the digest of its statement.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Key {
+pub struct RequestKey {
     pub name: String,
     pub digest: u64,
 }
@@ -20,7 +20,7 @@
     TermStart,
     Rows {
         writes: Vec<Write>,
-        key: Option<Key>,
+        key: Option<RequestKey>,
     },
     Fence {
         epoch: u64,
@@ -76,7 +76,7 @@
     /// BEGIN, the fence check (unless none is asked), and the insert of the key.
     Begin {
         epoch: Option<u64>,
-        key: Option<Key>,
+        key: Option<RequestKey>,
     },
     Insert {
         unit: u64,
@@ -86,7 +86,7 @@
     Commit,
     /// Inserts and deletes the key in one transaction.
     Settle {
-        key: Key,
+        key: RequestKey,
     },
     Set {
         value: u64,
@@ -103,7 +103,7 @@
     OpenFence {
         epoch: u64,
     },
-    LookAtFence,
+    ReadFence,
 }
 
 #[derive(Debug, Clone, PartialEq)]
@@ -122,11 +122,11 @@
         position: Position,
         same_statement: bool,
     },
-    KeyWasFree {
+    KeyAbsent {
         position: Position,
     },
     Fenced,
-    NotTaken,
+    Rejected,
     FenceRefused,
     Fence {
         epoch: u64,
@@ -138,10 +138,10 @@
 
 impl Reply {
     fn is_error(&self) -> bool {
-        use Reply::{FenceRefused, Fenced, NotTaken, RecordFound, Skipped};
+        use Reply::{FenceRefused, Fenced, RecordFound, Rejected, Skipped};
         matches!(
             self,
-            RecordFound { .. } | Fenced | NotTaken | FenceRefused | Skipped
+            RecordFound { .. } | Fenced | Rejected | FenceRefused | Skipped
         )
     }
 }
@@ -149,7 +149,7 @@
 #[derive(Debug)]
 pub struct Transaction {
     number: u64,
-    pub key: Option<Key>,
+    pub key: Option<RequestKey>,
     checked_fence: bool,
     writes: Vec<Write>,
 }
@@ -191,7 +191,7 @@
     pub role: ServerRole,
     pub leaving: bool,
     pub leaving_since: u64,
-    pub heard_at: u64,
+    pub primary_heard_at: u64,
     pub connections: BTreeMap<u64, Connection>,
     pub next_transaction: u64,
 }
@@ -211,7 +211,7 @@
             role: ServerRole::Replica,
             leaving: false,
             leaving_since: 0,
-            heard_at: 0,
+            primary_heard_at: 0,
             connections: BTreeMap::new(),
             next_transaction: 0,
         }
@@ -273,7 +273,7 @@
     }
 
     /// Takes over a primary's log; what differs from it is truncated.
-    pub fn adopt(&mut self, log: &Rc<Vec<Record>>) {
+    pub fn replace_log(&mut self, log: &Rc<Vec<Record>>) {
         let common = self
             .log
             .iter()
@@ -292,7 +292,7 @@
     }
 
     /// Opens a term as its primary; a new primary applies what it received first.
-    pub fn lead(&mut self, term: u64, now: u64) {
+    pub fn become_primary(&mut self, term: u64, now: u64) {
         self.vote_term = term;
         self.role = ServerRole::Primary;
         self.append(Effect::TermStart, now, None);
@@ -313,7 +313,7 @@
             .any(|each| each.transaction.is_some())
     }
 
-    fn key_locked_by_other(&self, connection: u64, key: &Key) -> bool {
+    fn key_locked_by_other(&self, connection: u64, key: &RequestKey) -> bool {
         self.connections.iter().any(|(number, each)| {
             let held = each.transaction.as_ref().and_then(|open| open.key.as_ref());
             *number != connection && held.is_some_and(|held| held.name == key.name)
@@ -329,7 +329,7 @@
     }
 
     /// Runs the next statement of a connection.
-    pub fn step(&mut self, number: u64, now: u64, notes: &mut Vec<BackEndEvent>) -> Step {
+    pub fn step(&mut self, number: u64, now: u64, events: &mut Vec<BackEndEvent>) -> Step {
         let Some(connection) = self.connections.get_mut(&number) else {
             return Step::Idle;
         };
@@ -346,7 +346,7 @@
         let reply = if failed {
             Some(Reply::Skipped)
         } else {
-            self.run(number, &statement, now, notes)
+            self.run(number, &statement, now, events)
         };
         let Some(reply) = reply else {
             return Step::Blocked;
@@ -370,13 +370,13 @@
         number: u64,
         statement: &Statement,
         now: u64,
-        notes: &mut Vec<BackEndEvent>,
+        events: &mut Vec<BackEndEvent>,
     ) -> Option<Reply> {
         let primary = self.role == ServerRole::Primary;
         let reply = match statement {
             Statement::Begin { epoch, key } => {
                 if !primary {
-                    return Some(Reply::NotTaken);
+                    return Some(Reply::Rejected);
                 }
                 if epoch.is_some_and(|epoch| self.tables.closed || self.tables.epoch != epoch) {
                     return Some(Reply::Fenced);
@@ -385,12 +385,12 @@
                     if self.key_locked_by_other(number, key) {
                         return None;
                     }
-                    if let Some(found) = self.record_of(key) {
+                    if let Some(found) = self.find_record(key) {
                         return Some(found);
                     }
                 }
                 self.begin(number, epoch.is_some(), key.clone());
-                notes.push(BackEndEvent::WorkStarted {
+                events.push(BackEndEvent::WorkStarted {
                     at: now,
                     server: self.name.clone(),
                 });
@@ -403,7 +403,7 @@
                 };
                 open.writes.extend(writes.iter().cloned());
                 let transaction = open.number;
-                notes.push(self.ran(number, transaction, *unit, now));
+                events.push(self.statement_ran(number, transaction, *unit, now));
                 Reply::Ok
             }
             Statement::Commit => {
@@ -420,19 +420,19 @@
             }
             Statement::Settle { key } => {
                 if !primary {
-                    return Some(Reply::NotTaken);
+                    return Some(Reply::Rejected);
                 }
                 if self.key_locked_by_other(number, key) {
                     return None;
                 }
-                if let Some(found) = self.record_of(key) {
+                if let Some(found) = self.find_record(key) {
                     return Some(found);
                 }
                 let effect = Effect::Rows {
                     writes: Vec::new(),
                     key: None,
                 };
-                Reply::KeyWasFree {
+                Reply::KeyAbsent {
                     position: self.append(effect, now, None),
                 }
             }
@@ -445,8 +445,8 @@
                 let setting = connection.setting;
                 let open = connection.transaction.as_ref().map(|open| open.number);
                 let transaction = open.unwrap_or_else(|| self.new_transaction());
-                notes.push(self.ran(number, transaction, *unit, now));
-                notes.push(BackEndEvent::WorkStarted {
+                events.push(self.statement_ran(number, transaction, *unit, now));
+                events.push(BackEndEvent::WorkStarted {
                     at: now,
                     server: self.name.clone(),
                 });
@@ -458,13 +458,13 @@
                 }
             }
             Statement::Status => Reply::Status(self.status()),
-            Statement::LookAtFence => Reply::Fence {
+            Statement::ReadFence => Reply::Fence {
                 epoch: self.tables.epoch,
                 open: !self.tables.closed,
             },
             Statement::RaiseFence { epoch } => {
                 if !primary {
-                    return Some(Reply::NotTaken);
+                    return Some(Reply::Rejected);
                 }
                 if self.fence_locked() {
                     return None;
@@ -483,7 +483,7 @@
             }
             Statement::OpenFence { epoch } => {
                 if !primary {
-                    return Some(Reply::NotTaken);
+                    return Some(Reply::Rejected);
                 }
                 if self.tables.epoch > *epoch {
                     return Some(Reply::FenceRefused);
@@ -500,7 +500,7 @@
         Some(reply)
     }
 
-    fn record_of(&self, key: &Key) -> Option<Reply> {
+    fn find_record(&self, key: &RequestKey) -> Option<Reply> {
         let digest = self.tables.keys.get(&key.name)?;
         Some(Reply::RecordFound {
             position: self.received(),
@@ -513,7 +513,7 @@
         self.next_transaction
     }
 
-    fn begin(&mut self, number: u64, checked_fence: bool, key: Option<Key>) {
+    fn begin(&mut self, number: u64, checked_fence: bool, key: Option<RequestKey>) {
         let transaction = Transaction {
             number: self.new_transaction(),
             key,
@@ -528,7 +528,13 @@
         connection.transaction.get_or_insert(transaction);
     }
 
-    fn ran(&self, connection: u64, transaction: u64, unit: u64, now: u64) -> BackEndEvent {
+    fn statement_ran(
+        &self,
+        connection: u64,
+        transaction: u64,
+        unit: u64,
+        now: u64,
+    ) -> BackEndEvent {
         let server = self.name.clone();
         BackEndEvent::StatementRan {
             at: now,
--- a/crates/spurpier-core/tests/model/transition.rs
+++ b/crates/spurpier-core/tests/model/transition.rs
@@ -64,7 +64,7 @@
     StopPrimary,
     Publish {
         side: Side,
-        behind: u64,
+        versions_behind: u64,
     },
     PlatformFault {
         fault: PlatformFault,
@@ -132,7 +132,7 @@
             1 => (0..ZONES).prop_map(|node| T::StopNode { node }),
             1 => (0..2 * ZONES).prop_map(|server| T::StopServer { server }),
             1 => Just(T::StopPrimary),
-            1 => (side(), 0u64..2).prop_map(|(side, behind)| T::Publish { side, behind }),
+            1 => (side(), 0u64..2).prop_map(|(side, versions_behind)| T::Publish { side, versions_behind }),
             1 => platform_fault().prop_map(|fault| T::PlatformFault { fault }),
         ]
         .boxed()
@@ -161,14 +161,14 @@
             }
             Transition::IsolatePrimary => self.isolate_primary(),
             Transition::HealLinks => {
-                self.note_missed_heartbeats();
+                self.record_missed_heartbeats();
                 self.network.cut = [[false; ZONES]; ZONES];
                 self.end_faults(|fault| fault.kind.starts_with("cut"));
             }
             Transition::LateMessages { late } => {
                 self.network.late = *late;
                 if *late {
-                    self.note_fault("late", FaultScope::Everything);
+                    self.record_fault("late", FaultScope::Everything);
                 } else {
                     self.end_faults(|fault| fault.kind == "late");
                 }
@@ -180,14 +180,14 @@
                 .for_each(|server| server.applying = true),
             Transition::KillNode { node } => {
                 if self.nodes[*node].up {
-                    self.note_fault("kill", FaultScope::Proxy(self.nodes[*node].name()));
+                    self.record_fault("kill", FaultScope::Proxy(self.nodes[*node].name()));
                     self.kill_node(*node);
                 }
             }
             Transition::FreezeNode { node } => {
                 if !self.nodes[*node].frozen {
                     self.nodes[*node].frozen = true;
-                    self.note_fault("freeze", FaultScope::Proxy(self.nodes[*node].name()));
+                    self.record_fault("freeze", FaultScope::Proxy(self.nodes[*node].name()));
                 }
             }
             Transition::ThawNodes => self.thaw_nodes(),
@@ -197,25 +197,28 @@
                 (0..self.servers.len()).for_each(|server| self.restart_server(server));
                 self.end_faults(|fault| fault.kind == "kill_server");
             }
-            Transition::StopNode { node } => self.stop_node_planned(*node),
-            Transition::StopServer { server } => self.stop_server_planned(*server),
+            Transition::StopNode { node } => self.start_planned_node_stop(*node),
+            Transition::StopServer { server } => self.start_planned_server_stop(*server),
             Transition::StopPrimary => {
                 if let Some(primary) = self.primary_of(Side::Old) {
-                    self.stop_server_planned(primary);
+                    self.start_planned_server_stop(primary);
                 }
             }
-            Transition::Publish { side, behind } => {
+            Transition::Publish {
+                side,
+                versions_behind,
+            } => {
                 let version = self.platform.version();
                 // A database that has moved is not moved back.
                 let moved = self.platform.placement(version).side == Side::New;
                 let side = if moved { Side::New } else { *side };
-                self.publish(side, version.saturating_sub(*behind));
+                self.publish(side, version.saturating_sub(*versions_behind));
             }
             Transition::PlatformFault { fault } => {
                 self.platform.fault = *fault;
                 self.end_faults(|fault| fault.scope == FaultScope::Platform);
                 if *fault != PlatformFault::None {
-                    self.note_fault("platform", FaultScope::Platform);
+                    self.record_fault("platform", FaultScope::Platform);
                 }
             }
         }
@@ -225,7 +228,7 @@
         for (from, to) in links {
             self.network.cut[*from][*to] |= from != to;
         }
-        self.note_fault(kind, FaultScope::Everything);
+        self.record_fault(kind, FaultScope::Everything);
     }
 
     pub fn primary_of(&self, side: Side) -> Option<usize> {
@@ -267,7 +270,7 @@
         if self.servers[server].up {
             self.servers[server].up = false;
             self.end_planned_stop(server);
-            self.note_fault(
+            self.record_fault(
                 "kill_server",
                 FaultScope::Server(self.servers[server].name.clone()),
             );
@@ -275,7 +278,7 @@
         }
     }
 
-    fn stop_node_planned(&mut self, node: usize) {
+    fn start_planned_node_stop(&mut self, node: usize) {
         if !self.nodes[node].up || self.nodes[node].draining {
             return;
         }
@@ -292,7 +295,7 @@
         }
     }
 
-    fn stop_server_planned(&mut self, server: usize) {
+    fn start_planned_server_stop(&mut self, server: usize) {
         // Operators stop one server of a group at a time, so that a majority stays.
         let mut group = servers_of(self.servers[server].side);
         if group.any(|member| !self.servers[member].up || self.servers[member].leaving) {
@@ -314,7 +317,7 @@
     }
 
     /// Heals everything, lets all work end, notes what is there, and asks the oracle.
-    pub fn conclude(&mut self) -> Violations {
+    pub fn finish_and_check(&mut self) -> Violations {
         for _ in 0..3 {
             self.apply(&Transition::HealLinks);
             self.apply(&Transition::LateMessages { late: false });
@@ -327,7 +330,7 @@
             });
             self.run_for(6_000 * MILLISECOND);
         }
-        self.note_unanswered();
+        self.record_unanswered();
         let write_side = match self.primary_of(Side::New) {
             Some(primary) if self.servers[primary].tables.epoch > 0 => Side::New,
             _ => Side::Old,
--- a/crates/spurpier-core/tests/model/world.rs
+++ b/crates/spurpier-core/tests/model/world.rs
@@ -17,7 +17,7 @@
 
 pub const TICK: u64 = 10 * MILLISECOND;
 /// After which a party notices that its connection broke without a word.
-pub const SILENT_LOSS: u64 = 200 * MILLISECOND;
+pub const SILENT_LOSS_TIMEOUT: u64 = 200 * MILLISECOND;
 pub const DATABASE: &str = "d";
 pub const CLIENTS: usize = 6;
 
@@ -147,25 +147,25 @@
             steps: 0,
         };
         for node in &mut world.nodes {
-            node.ungated = breakage == Breakage::StartNotGated;
+            node.gate_disabled = breakage == Breakage::StartNotGated;
         }
-        world.after(0, Event::Tick);
+        world.schedule_after(0, Event::Tick);
         world.publish(Side::Old, 0);
         world.run_for(2_000 * MILLISECOND);
         world
     }
 
     /// A number that nothing else has.
-    pub fn fresh_number(&mut self) -> u64 {
+    pub fn unique_number(&mut self) -> u64 {
         self.next_number += 1;
         self.next_number
     }
 
-    pub fn after(&mut self, delay: u64, event: Event) {
-        self.at(self.now + delay, event);
+    pub fn schedule_after(&mut self, delay: u64, event: Event) {
+        self.schedule_at(self.now + delay, event);
     }
 
-    fn at(&mut self, time: u64, event: Event) {
+    fn schedule_at(&mut self, time: u64, event: Event) {
         self.sequence += 1;
         self.queue.insert((time, self.sequence), event);
     }
@@ -228,7 +228,7 @@
     }
 
     fn tick(&mut self) {
-        self.after(TICK, Event::Tick);
+        self.schedule_after(TICK, Event::Tick);
         for side in [Side::Old, Side::New] {
             self.group_tick(side);
         }
@@ -252,7 +252,7 @@
             state.deferred.push_back(body);
             return;
         }
-        self.node_handle(node, body);
+        self.handle_node_message(node, body);
     }
 
     /// Lets a frozen node handle what has arrived meanwhile, in order.
@@ -260,7 +260,7 @@
         self.nodes[node].frozen = false;
         let deferred = std::mem::take(&mut self.nodes[node].deferred);
         for body in deferred {
-            self.node_handle(node, body);
+            self.handle_node_message(node, body);
         }
     }
 
@@ -277,8 +277,8 @@
             statements,
             replies: Vec::new(),
         };
-        let time = self.network.arrival(self.now, connection, true);
-        self.at(
+        let time = self.network.arrival_time(self.now, connection, true);
+        self.schedule_at(
             time,
             Event::ServerRequest {
                 server,
@@ -291,14 +291,14 @@
     }
 
     pub fn close_connection(&mut self, server: usize, connection: u64) {
-        let time = self.network.arrival(self.now, connection, true);
-        self.at(time, Event::ServerDrop { server, connection });
+        let time = self.network.arrival_time(self.now, connection, true);
+        self.schedule_at(time, Event::ServerDrop { server, connection });
     }
 
     pub fn send_probe(&mut self, node: usize, server: usize) {
         let delay = self.network.delay();
         let incarnation = self.nodes[node].incarnation;
-        self.after(
+        self.schedule_after(
             delay,
             Event::ServerProbe {
                 server,
@@ -309,9 +309,14 @@
         );
     }
 
-    fn tell_lost(&mut self, (node, incarnation): (usize, u64), connection: u64, delay: u64) {
+    fn notify_connection_lost(
+        &mut self,
+        (node, incarnation): (usize, u64),
+        connection: u64,
+        delay: u64,
+    ) {
         let body = ToNode::ConnectionLost { connection };
-        self.after(
+        self.schedule_after(
             delay,
             Event::Node {
                 node,
@@ -331,10 +336,13 @@
         let (node, incarnation) = owner;
         if !self
             .network
-            .passes(self.nodes[node].zone, self.servers[server].zone)
+            .can_send(self.nodes[node].zone, self.servers[server].zone)
         {
-            self.tell_lost(owner, connection, SILENT_LOSS);
-            self.after(SILENT_LOSS, Event::ServerDrop { server, connection });
+            self.notify_connection_lost(owner, connection, SILENT_LOSS_TIMEOUT);
+            self.schedule_after(
+                SILENT_LOSS_TIMEOUT,
+                Event::ServerDrop { server, connection },
+            );
             return;
         }
         let state = &mut self.servers[server];
@@ -349,7 +357,7 @@
             return;
         }
         if !state.up || (!known && (state.leaving || !opens)) {
-            self.tell_lost(owner, connection, MILLISECOND);
+            self.notify_connection_lost(owner, connection, MILLISECOND);
             return;
         }
         let state = state.connections.entry(connection).or_default();
@@ -360,8 +368,8 @@
 
     /// A leaving server refuses the connection before any statement is sent on it.
     fn refuse_open(&mut self, (node, incarnation): (usize, u64), connection: u64) {
-        let replies = vec![Reply::NotTaken];
-        let time = self.network.arrival(self.now, connection, false);
+        let replies = vec![Reply::Rejected];
+        let time = self.network.arrival_time(self.now, connection, false);
         for body in [
             ToNode::Answer {
                 connection,
@@ -369,7 +377,7 @@
             },
             ToNode::ConnectionLost { connection },
         ] {
-            self.at(
+            self.schedule_at(
                 time,
                 Event::Node {
                     node,
@@ -381,8 +389,8 @@
     }
 
     fn schedule_step(&mut self, server: usize, connection: u64) {
-        let delay = 20 + self.network.below(200);
-        self.after(delay, Event::ServerStep { server, connection });
+        let delay = 20 + self.network.random_below(200);
+        self.schedule_after(delay, Event::ServerStep { server, connection });
     }
 
     /// Lets every connection of a server try again what it waits for.
@@ -416,18 +424,25 @@
                 self.schedule_step(server, connection);
                 if !self
                     .network
-                    .passes(self.servers[server].zone, self.nodes[node].zone)
+                    .can_send(self.servers[server].zone, self.nodes[node].zone)
                 {
-                    self.tell_lost((node, incarnation), connection, SILENT_LOSS);
-                    self.after(SILENT_LOSS, Event::ServerDrop { server, connection });
+                    self.notify_connection_lost(
+                        (node, incarnation),
+                        connection,
+                        SILENT_LOSS_TIMEOUT,
+                    );
+                    self.schedule_after(
+                        SILENT_LOSS_TIMEOUT,
+                        Event::ServerDrop { server, connection },
+                    );
                     return;
                 }
                 let body = ToNode::Answer {
                     connection,
                     replies,
                 };
-                let time = self.network.arrival(self.now, connection, false);
-                self.at(
+                let time = self.network.arrival_time(self.now, connection, false);
+                self.schedule_at(
                     time,
                     Event::Node {
                         node,
@@ -440,8 +455,8 @@
     }
 
     fn server_probe(&mut self, server: usize, node: usize, incarnation: u64, asked_at: u64) {
-        let (there, here) = (self.servers[server].zone, self.nodes[node].zone);
-        if !self.servers[server].up || !self.network.both_ways(there, here) {
+        let (server_zone, node_zone) = (self.servers[server].zone, self.nodes[node].zone);
+        if !self.servers[server].up || !self.network.can_exchange(server_zone, node_zone) {
             return;
         }
         let status = Box::new(self.servers[server].status());
@@ -451,7 +466,7 @@
             asked_at,
             status,
         };
-        self.after(
+        self.schedule_after(
             delay,
             Event::Node {
                 node,
@@ -465,12 +480,12 @@
     pub fn drop_server_connections(&mut self, server: usize) {
         for (connection, node, incarnation) in self.servers[server].drop_connections() {
             // The end of a connection arrives behind the answers on it.
-            let delay = self.network.arrival(self.now, connection, false) - self.now;
-            self.tell_lost((node, incarnation), connection, delay);
+            let delay = self.network.arrival_time(self.now, connection, false) - self.now;
+            self.notify_connection_lost((node, incarnation), connection, delay);
         }
     }
 
-    pub fn note_fault(&mut self, kind: &str, scope: FaultScope) {
+    pub fn record_fault(&mut self, kind: &str, scope: FaultScope) {
         let kind = kind.to_owned();
         self.history.faults.push(Fault {
             kind,
--- a/crates/spurpier-core/tests/oracle_breakages.rs
+++ b/crates/spurpier-core/tests/oracle_breakages.rs
@@ -25,7 +25,7 @@
     Breakage::ReusedInTransaction,
     Breakage::SettingsNotReset,
     Breakage::FenceIgnored,
-    Breakage::PolicyMayFall,
+    Breakage::PolicyVersionMayDecrease,
     Breakage::ReadsIgnoreFence,
     Breakage::StartNotGated,
     Breakage::TermParentIgnored,
@@ -38,7 +38,7 @@
 const CASES: usize = 400;
 
 /// The guarantee that a breakage must be seen to break.
-fn broken_by(breakage: Breakage) -> Option<Guarantee> {
+fn violated_guarantee(breakage: Breakage) -> Option<Guarantee> {
     Some(match breakage {
         Breakage::None => return None,
         Breakage::ConfirmationSkipped => Guarantee::NoDeposedAcknowledgement,
@@ -51,7 +51,7 @@
         Breakage::ReusedInTransaction | Breakage::SettingsNotReset => {
             Guarantee::TransactionSeparation
         }
-        Breakage::FenceIgnored | Breakage::PolicyMayFall | Breakage::StartNotGated => {
+        Breakage::FenceIgnored | Breakage::PolicyVersionMayDecrease | Breakage::StartNotGated => {
             Guarantee::PolicyNeverReverts
         }
         Breakage::LeavingIgnored => Guarantee::LeavingBackEndDrained,
@@ -66,13 +66,13 @@
     for transition in transitions {
         world.apply(transition);
     }
-    world.conclude()
+    world.finish_and_check()
 }
 
 /// Breakages that need a rare order of events are shown by a scenario under many delays.
 fn scenario(breakage: Breakage) -> Option<Vec<Transition>> {
     use Transition as T;
-    let ask = |client, node, work| T::Request { client, node, work };
+    let request = |client, node, work| T::Request { client, node, work };
     let read = Work::Read {
         row: 0,
         fresh: false,
@@ -87,16 +87,16 @@
     };
     let wait = |millis| T::Advance { millis };
     Some(match breakage {
-        Breakage::TermParentIgnored => vec![ask(3, 2, transaction), wait(58), T::StopPrimary],
+        Breakage::TermParentIgnored => vec![request(3, 2, transaction), wait(58), T::StopPrimary],
         Breakage::StartNotGated => vec![
             T::FreezeNode { node: 0 },
             T::CutZone { zone: 0 },
             T::Publish {
                 side: Side::New,
-                behind: 0,
+                versions_behind: 0,
             },
             wait(900),
-            ask(5, 1, read),
+            request(5, 1, read),
             wait(50),
             T::KillNode { node: 1 },
             T::KillNode { node: 2 },
@@ -107,7 +107,7 @@
             },
             T::RestartNodes,
             wait(400),
-            ask(5, 1, read),
+            request(5, 1, read),
             wait(50),
         ],
         Breakage::ReadsIgnoreFence => vec![
@@ -115,18 +115,18 @@
             T::CutZone { zone: 0 },
             T::Publish {
                 side: Side::New,
-                behind: 0,
+                versions_behind: 0,
             },
             wait(900),
             wait(900),
             wait(900),
             wait(900),
-            ask(3, 1, write),
+            request(3, 1, write),
             wait(200),
             T::HealLinks,
             T::ThawNodes,
             wait(20),
-            ask(3, 0, read),
+            request(3, 0, read),
             wait(50),
         ],
         _ => return None,
@@ -134,14 +134,14 @@
 }
 
 #[test]
-fn each_rare_breakage_is_noticed() {
-    let mut unnoticed = Vec::new();
+fn each_rare_breakage_is_detected() {
+    let mut undetected = Vec::new();
     for breakage in BREAKAGES {
         let Some(transitions) = scenario(breakage) else {
             continue;
         };
-        let guarantee = broken_by(breakage).expect("a mechanism is taken out");
-        let noticed = (0..CASES as u64).map(|seed| Case { seed }).find(|case| {
+        let guarantee = violated_guarantee(breakage).expect("a mechanism is taken out");
+        let detected = (0..CASES as u64).map(|seed| Case { seed }).find(|case| {
             let intact = run(case, &transitions, Breakage::None);
             assert!(
                 intact.is_empty(),
@@ -150,29 +150,32 @@
             );
             run(case, &transitions, breakage).count(guarantee) > 0
         });
-        println!("{breakage:?}: {} broken in {noticed:?}", guarantee.as_str());
-        if noticed.is_none() {
-            unnoticed.push(breakage);
+        println!(
+            "{breakage:?}: {} broken in {detected:?}",
+            guarantee.as_str()
+        );
+        if detected.is_none() {
+            undetected.push(breakage);
         }
     }
-    assert!(unnoticed.is_empty(), "not noticed: {unnoticed:?}");
+    assert!(undetected.is_empty(), "not detected: {undetected:?}");
 }
 
 #[test]
-fn each_breakage_is_noticed() {
-    let mut unnoticed = Vec::new();
+fn each_breakage_is_detected() {
+    let mut undetected = Vec::new();
     for breakage in BREAKAGES {
         if scenario(breakage).is_some() {
             continue;
         }
-        let guarantee = broken_by(breakage).expect("a mechanism is taken out");
+        let guarantee = violated_guarantee(breakage).expect("a mechanism is taken out");
         let config = Config {
             rng_seed: RngSeed::Fixed(SEED),
             ..Config::default()
         };
         let mut runner = TestRunner::new(config);
         let strategy = Case::sequential_strategy(40..160);
-        let noticed = (0..CASES).find_map(|number| {
+        let detected = (0..CASES).find_map(|number| {
             let tree = strategy
                 .new_tree(&mut runner)
                 .expect("cases can be generated");
@@ -180,8 +183,8 @@
             let violations = run(&case, &transitions, breakage);
             (violations.count(guarantee) > 0).then_some((number, case, transitions))
         });
-        let Some((number, case, transitions)) = noticed else {
-            unnoticed.push(breakage);
+        let Some((number, case, transitions)) = detected else {
+            undetected.push(breakage);
             continue;
         };
         let step = (1..=transitions.len())
@@ -193,5 +196,5 @@
         let intact = run(&case, &transitions, Breakage::None);
         assert!(intact.is_empty(), "{intact:#?}\n{transitions:?}");
     }
-    assert!(unnoticed.is_empty(), "not noticed: {unnoticed:?}");
+    assert!(undetected.is_empty(), "not detected: {undetected:?}");
 }
--- a/crates/spurpier-core/tests/statement_classification.rs
+++ b/crates/spurpier-core/tests/statement_classification.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{RngSeed, TestRunner};
 use spurpier_core::statement::{
-    ClassificationCache, LocalCommand, OwnSetting, SettingChange, StatementClass,
+    ClassificationCache, LocalCommand, ProxySetting, SettingChange, StatementClass,
     back_end_statement_name, classify,
 };
 
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn reads_are_found() {
+fn reads_are_recognized() {
     let texts = [
         "SELECT 1",
         "select * from box where age >= 3 order by name limit 5",
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn writes_are_found() {
+fn writes_are_recognized() {
     let texts = [
         "INSERT INTO a VALUES (1)",
         "UPDATE a SET b = 1",
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn transaction_control_is_found_in_all_spellings() {
+fn transaction_control_is_recognized_in_all_spellings() {
     let begin = |read_only| StatementClass::Begin { read_only };
     let cases = [
         ("begin", begin(false)),
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn what_needs_a_connection_of_its_own_is_unsupported() {
+fn statements_that_need_a_dedicated_connection_are_unsupported() {
     let texts = [
         "COPY a TO STDOUT",
         "LISTEN a",
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn session_commands_are_read() {
+fn session_commands_are_parsed() {
     let set = |name: &str, value: &str| {
         StatementClass::Setting(SettingChange::Set {
             name: name.to_owned(),
@@ -188,13 +188,13 @@
         (
             "SET spurpier.request_key = 'k'",
             local(LocalCommand::Set {
-                setting: OwnSetting::RequestKey,
+                setting: ProxySetting::RequestKey,
                 value: "k".to_owned(),
             }),
         ),
         (
             "SHOW spurpier.position",
-            local(LocalCommand::Show(OwnSetting::Position)),
+            local(LocalCommand::Show(ProxySetting::Position)),
         ),
         (
             "DEALLOCATE PREPARE a",
@@ -208,10 +208,10 @@
 }
 
 #[test]
-fn a_text_is_cut_at_its_semicolons_alone() {
+fn a_text_is_split_only_at_statement_semicolons() {
     let text = "SELECT ';'; -- ;\nSELECT $a$;$a$ /* ; */;;\n  SÉLECT 'é;'; COMMIT ;";
     let classified = classify(text);
-    let pieces: Vec<&str> = classified
+    let statements: Vec<&str> = classified
         .statements
         .iter()
         .map(|statement| text[statement.range.clone()].trim())
@@ -222,7 +222,7 @@
         "SÉLECT 'é;'",
         "COMMIT",
     ];
-    assert_eq!(pieces, expected);
+    assert_eq!(statements, expected);
     assert_eq!(classified.statements[3].class, StatementClass::Commit);
 }
 
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn digests_pass_over_comments_and_space_alone() {
+fn digests_ignore_only_comments_and_white_space() {
     let digest = |text| classify(text).token_digest;
     let plain = digest("INSERT INTO a VALUES (1)");
     assert_eq!(plain, digest("/*t='1'*/ INSERT  INTO a\nVALUES (1) -- x"));
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn the_cache_is_bounded_and_true() {
+fn the_cache_is_bounded_and_matches_the_classifier() {
     let cache = ClassificationCache::new(10);
     for number in 0..100 {
         let text = format!("SELECT {number}");
@@ -306,7 +306,7 @@
 }
 
 /// Changes that do not change what a text does: case, space and comments.
-fn disguise(text: &str, upper: bool, comments: u8) -> String {
+fn vary_spelling(text: &str, upper: bool, comments: u8) -> String {
     let text = match upper {
         true => text.to_uppercase(),
         false => text.to_lowercase(),
@@ -321,7 +321,7 @@
 }
 
 #[test]
-fn no_write_is_ever_called_a_read() {
+fn no_write_is_classified_as_a_read() {
     let input = (
         writing_statement(),
         any::<bool>(),
@@ -329,7 +329,7 @@
         any::<bool>(),
     );
     let checked = runner(3_000).run(&input, |(text, upper, comments, follows_a_read)| {
-        let mut text = disguise(&text, upper, comments);
+        let mut text = vary_spelling(&text, upper, comments);
         if follows_a_read {
             text = format!("SELECT 1; {text}");
         }
@@ -342,7 +342,7 @@
 }
 
 #[test]
-fn any_text_is_classified_without_a_panic() {
+fn arbitrary_text_never_panics() {
     let words = prop::sample::select(vec![
         "SELECT",
         "BEGIN",
--- a/crates/spurpier/src/home/unit/commit_answers.rs
+++ b/crates/spurpier/src/home/unit/commit_answers.rs
@@ -89,7 +89,7 @@
                 same_statement: record.digest == context.request.statement_digest,
             },
             // The row went away between the two looks, as with a primary that was replaced.
-            FoundRecord::Gone => CommitEvent::NotTaken {
+            FoundRecord::Gone => CommitEvent::Rejected {
                 reason: Reason::NoPrimary,
             },
         }
--- a/crates/spurpier/src/home/unit/settle.rs
+++ b/crates/spurpier/src/home/unit/settle.rs
@@ -45,7 +45,7 @@
     place: &mut Place,
     channel: &mut UnitChannel,
 ) -> Result<CommitEvent<'static>, Report<ConnectionBroken>> {
-    let not_taken = CommitEvent::NotTaken {
+    let not_taken = CommitEvent::Rejected {
         reason: Reason::CommitUnknown,
     };
     let Some(key) = &context.request.request_key else {
@@ -61,7 +61,7 @@
     let Some(error) = &inserted.error else {
         let position = position.ok_or(ConnectionBroken)?;
         exchange.connection.last_commit = position;
-        return Ok(CommitEvent::KeyWasFree { position });
+        return Ok(CommitEvent::KeyAbsent { position });
     };
     let exists = error.is_unique_violation();
     let found = roll_back_and_look_up(context, &mut exchange).await?;
--- a/crates/spurpier/src/home/unit/transaction/batch.rs
+++ b/crates/spurpier/src/home/unit/transaction/batch.rs
@@ -111,7 +111,7 @@
         let asked_at = context.now();
         let mut parses = flight.queue(exchange.connection, demand.is_some());
         self.guarded |= flight.guard.is_some();
-        self.machine.step(CommitEvent::Begun, asked_at);
+        self.machine.step(CommitEvent::Started, asked_at);
         if batch.effect == BatchEffect::Commit && self.guarded {
             self.machine.step(CommitEvent::CommitSent, asked_at);
         }
@@ -228,7 +228,7 @@
         return Ok(Some(CommitEvent::Fenced));
     }
     if error.is_read_only() && !context.asks_read_only() {
-        return Ok(Some(CommitEvent::NotTaken {
+        return Ok(Some(CommitEvent::Rejected {
             reason: Reason::NoPrimary,
         }));
     }
--- a/crates/spurpier/src/home/unit/transaction/mod.rs
+++ b/crates/spurpier/src/home/unit/transaction/mod.rs
@@ -2,7 +2,7 @@
 
 mod batch;
 
-use spurpier_core::commit::{CommitAction, CommitEvent, CommitMachine, CommitVerdict, WriteKind};
+use spurpier_core::commit::{CommitAction, CommitEvent, CommitMachine, CommitOutcome, WriteKind};
 use spurpier_core::group::{ServerRole, ServerStatus};
 use spurpier_core::position::Position;
 use spurpier_core::reason::Reason;
@@ -244,13 +244,13 @@
     }
 }
 
-fn verdict_result(verdict: CommitVerdict) -> Option<UnitResult> {
+fn verdict_result(verdict: CommitOutcome) -> Option<UnitResult> {
     match verdict {
-        CommitVerdict::Done { .. } | CommitVerdict::RolledBack => None,
-        CommitVerdict::Recorded { .. } => Some(UnitResult::Done {
+        CommitOutcome::Done { .. } | CommitOutcome::RolledBack => None,
+        CommitOutcome::Recorded { .. } => Some(UnitResult::Done {
             reason: Reason::AlreadyDone,
         }),
-        CommitVerdict::NotRun(reason) => Some(Refusal::new(reason).result()),
-        CommitVerdict::Unknown(reason) => Some(UnitResult::Unknown { reason }),
+        CommitOutcome::NotRun(reason) => Some(Refusal::new(reason).result()),
+        CommitOutcome::Unknown(reason) => Some(UnitResult::Unknown { reason }),
     }
 }
--- a/crates/spurpier/src/home/unit/write.rs
+++ b/crates/spurpier/src/home/unit/write.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use error_stack::Report;
-use spurpier_core::commit::{CommitAction, CommitEvent, CommitMachine, CommitVerdict, WriteKind};
+use spurpier_core::commit::{CommitAction, CommitEvent, CommitMachine, CommitOutcome, WriteKind};
 use spurpier_core::group::ServerStatus;
 use spurpier_core::position::Position;
 use spurpier_core::reason::Reason;
@@ -151,7 +151,7 @@
             .queue_query(&begin_query(&context.request));
         let mut parses = queue_batch(exchange.connection, self.batch);
         exchange.connection.queue_query(COMMIT_QUERY);
-        self.machine.step(CommitEvent::Begun, asked_at);
+        self.machine.step(CommitEvent::Started, asked_at);
         self.machine.step(CommitEvent::CommitSent, asked_at);
         queue_position(exchange.connection, may_change_settings(self.batch));
         let begin = begin_answer(&mut exchange).await?;
@@ -191,7 +191,7 @@
             .connection
             .queue_query(&begin_query(&context.request));
         let mut parses = queue_batch(exchange.connection, self.batch);
-        self.machine.step(CommitEvent::Begun, asked_at);
+        self.machine.step(CommitEvent::Started, asked_at);
         let begin = begin_answer(&mut exchange).await?;
         let mut unseen = AnswerSink::discarding();
         let sink = match begin.error {
@@ -275,7 +275,7 @@
         if error.is_read_only() && !self.context.asks_read_only() {
             self.context.group.watcher.doubt();
             let reason = Reason::NoPrimary;
-            return self.step(CommitEvent::NotTaken { reason });
+            return self.step(CommitEvent::Rejected { reason });
         }
         self.sink.replace_held(&encode_server_error(error));
         self.step(CommitEvent::RolledBack {
@@ -292,17 +292,17 @@
     }
 
     /// Gives the answer that the verdict allows.
-    async fn conclude(mut self, verdict: CommitVerdict) -> UnitResult {
+    async fn conclude(mut self, verdict: CommitOutcome) -> UnitResult {
         match verdict {
-            CommitVerdict::Done { position } => self.give_answer(position).await,
-            CommitVerdict::Recorded { position } => self.give_record(position).await,
-            CommitVerdict::RolledBack => {
+            CommitOutcome::Done { position } => self.give_answer(position).await,
+            CommitOutcome::Recorded { position } => self.give_record(position).await,
+            CommitOutcome::RolledBack => {
                 self.sink.release(self.channel);
                 self.channel.end_batch(TransactionStatus::Idle).await;
                 self.context.unchanged()
             }
-            CommitVerdict::NotRun(reason) => self.refusal_for(reason).result(),
-            CommitVerdict::Unknown(reason) => UnitResult::Unknown { reason },
+            CommitOutcome::NotRun(reason) => self.refusal_for(reason).result(),
+            CommitOutcome::Unknown(reason) => UnitResult::Unknown { reason },
         }
     }
 
--- a/crates/spurpier/src/ingress/local.rs
+++ b/crates/spurpier/src/ingress/local.rs
@@ -3,7 +3,7 @@
 use spurpier_core::identity::{RequestKey, SessionId};
 use spurpier_core::reason::Reason;
 use spurpier_core::session::PositionToken;
-use spurpier_core::statement::{LocalCommand, OwnSetting};
+use spurpier_core::statement::{LocalCommand, ProxySetting};
 
 use super::connection::{Connection, StepOutcome, Transaction};
 use super::reply::{self, Refusal, SqlError};
@@ -48,20 +48,20 @@
         StepOutcome::Done
     }
 
-    fn set_own(&mut self, setting: OwnSetting, value: &str) -> StepOutcome {
-        if setting != OwnSetting::Position && value.len() > LONGEST_NAME {
+    fn set_own(&mut self, setting: ProxySetting, value: &str) -> StepOutcome {
+        if setting != ProxySetting::Position && value.len() > LONGEST_NAME {
             let message = format!("{} is longer than {LONGEST_NAME} bytes", setting.name());
             return self.give_error(&SqlError::new("22023", message));
         }
         match setting {
-            OwnSetting::Session if value.is_empty() => {
+            ProxySetting::Session if value.is_empty() => {
                 let message = "spurpier.session cannot be empty";
                 return self.give_error(&SqlError::new("22023", message));
             }
-            OwnSetting::Session => self.session.id = SessionId::from(value),
-            OwnSetting::Class => self.session.class = value.to_owned(),
-            OwnSetting::RequestKey => return self.set_request_key(value),
-            OwnSetting::Position => match value.parse::<PositionToken>() {
+            ProxySetting::Session => self.session.id = SessionId::from(value),
+            ProxySetting::Class => self.session.class = value.to_owned(),
+            ProxySetting::RequestKey => return self.set_request_key(value),
+            ProxySetting::Position => match value.parse::<PositionToken>() {
                 Ok(token) => {
                     if self.session.raise_floors(&token) {
                         self.report_position();
@@ -86,13 +86,13 @@
         StepOutcome::Done
     }
 
-    fn show_own(&self, setting: OwnSetting) -> String {
+    fn show_own(&self, setting: ProxySetting) -> String {
         let session = &self.session;
         match setting {
-            OwnSetting::Session => session.id.as_str().to_owned(),
-            OwnSetting::Position => session.position(),
-            OwnSetting::Class => session.class.clone(),
-            OwnSetting::RequestKey => {
+            ProxySetting::Session => session.id.as_str().to_owned(),
+            ProxySetting::Position => session.position(),
+            ProxySetting::Class => session.class.clone(),
+            ProxySetting::RequestKey => {
                 let key = session.request_key.as_ref();
                 key.map_or_else(String::new, |key| key.as_str().to_owned())
             }
--- a/crates/spurpier/src/ingress/prepared.rs
+++ b/crates/spurpier/src/ingress/prepared.rs
@@ -25,7 +25,7 @@
     /// The command, when the proxy itself has a part in running the statement.
     pub fn command(&self) -> Option<&ClassifiedStatement> {
         match self.classified.statements.as_slice() {
-            [statement] if statement.class.stands_alone() => Some(statement),
+            [statement] if statement.class.must_be_sent_alone() => Some(statement),
             _ => None,
         }
     }
--- a/crates/spurpier/src/ingress/simple.rs
+++ b/crates/spurpier/src/ingress/simple.rs
@@ -44,7 +44,7 @@
             return Ok(StepOutcome::Done);
         };
         let group_text = &text[first.range.start..last.range.end];
-        if first.class.stands_alone() {
+        if first.class.must_be_sent_alone() {
             self.describe_shown(&first.class);
             return self.run_command(&first.class, group_text, notes).await;
         }
@@ -96,5 +96,7 @@
 fn group_statements(
     statements: &[ClassifiedStatement],
 ) -> impl Iterator<Item = &[ClassifiedStatement]> {
-    statements.chunk_by(|left, right| !left.class.stands_alone() && !right.class.stands_alone())
+    statements.chunk_by(|left, right| {
+        !left.class.must_be_sent_alone() && !right.class.must_be_sent_alone()
+    })
 }
--- a/crates/spurpier/src/ingress/startup_options.rs
+++ b/crates/spurpier/src/ingress/startup_options.rs
@@ -4,7 +4,7 @@
 
 use spurpier_core::identity::DatabaseName;
 use spurpier_core::session::PositionToken;
-use spurpier_core::statement::{OwnSetting, quote_literal};
+use spurpier_core::statement::{ProxySetting, quote_literal};
 
 use super::reply::SqlError;
 use super::session::LONGEST_NAME;
@@ -82,7 +82,7 @@
 
     fn read_setting(&mut self, name: &str, value: &str) -> Result<(), SqlError> {
         let lower = name.to_ascii_lowercase();
-        if let Some(setting) = OwnSetting::from_name(&lower) {
+        if let Some(setting) = ProxySetting::from_name(&lower) {
             return self.read_own_setting(setting, value);
         }
         if let Some(spelling) = REPORTED
@@ -104,19 +104,19 @@
         }
     }
 
-    fn read_own_setting(&mut self, setting: OwnSetting, value: &str) -> Result<(), SqlError> {
-        if setting != OwnSetting::Position && value.len() > LONGEST_NAME {
+    fn read_own_setting(&mut self, setting: ProxySetting, value: &str) -> Result<(), SqlError> {
+        if setting != ProxySetting::Position && value.len() > LONGEST_NAME {
             let message = format!("{} is longer than {LONGEST_NAME} bytes", setting.name());
             return Err(SqlError::new("22023", message));
         }
         match setting {
-            OwnSetting::Session => self.session = Some(value.to_owned()),
-            OwnSetting::Class => self.class = value.to_owned(),
-            OwnSetting::Position => {
+            ProxySetting::Session => self.session = Some(value.to_owned()),
+            ProxySetting::Class => self.class = value.to_owned(),
+            ProxySetting::Position => {
                 let token = value.parse::<PositionToken>();
                 self.position = token.map_err(|error| SqlError::new("22023", error.to_string()))?;
             }
-            OwnSetting::RequestKey => {
+            ProxySetting::RequestKey => {
                 let message = "spurpier.request_key belongs to one request, not to the start-up";
                 return Err(SqlError::new("22023", message));
             }
