--- a/crates/spurpier-core/src/commit/event.rs
+++ b/crates/spurpier-core/src/commit/event.rs
@@ -1,24 +1,25 @@
-//! What happens to a write, what to do about it, and how it ends.
+//! Inputs, actions and outcomes of the commit state machine.
 
 use crate::group::GroupView;
 use crate::position::Position;
 use crate::reason::Reason;
 
-/// How a write is sent, which decides how a lost connection can be resolved.
+/// How a write is sent, which determines how it recovers from a lost connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteKind {
     /// One batch without a request key: at most one attempt.
     Unkeyed,
-    /// One batch with a request key: attempted again until its outcome is known.
+    /// One batch with a request key: retried until its outcome is known or the deadline passes.
     Keyed,
-    /// A transaction that the client drives, without a request key.
+    /// A transaction driven by the client, without a request key.
     Transaction,
-    /// A transaction that the client drives, with a request key; its outcome can be settled.
+    /// A transaction driven by the client, with a request key. It cannot be rerun, but its outcome
+    /// can be looked up by the key.
     KeyedTransaction,
 }
 
 impl WriteKind {
-    /// Whether the home itself can run the whole write again.
+    /// Whether the proxy has the whole write and can rerun it without the client.
     pub(super) const fn can_rerun(self) -> bool {
         matches!(self, WriteKind::Unkeyed | WriteKind::Keyed)
     }
@@ -29,88 +30,90 @@
     }
 }
 
-/// What has happened to a write.
+/// An input of the commit state machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CommitEvent<'a> {
-    /// The first byte of the present attempt has left.
+    /// The first byte of the current attempt was sent.
     Started,
-    /// The COMMIT of the present attempt has left.
+    /// The COMMIT of the current attempt was sent.
     CommitSent,
     /// The back end committed the attempt at this position.
     Committed {
-        /// Where the transaction stands in the log of the server that ran it.
+        /// The transaction's position in the log of the server that executed it.
         position: Position,
     },
-    /// The attempt succeeded on the primary without writing a record.
+    /// The attempt succeeded on the primary without writing a log record.
     CommittedWithoutWrite {
-        /// The server's received position, asked behind the commit.
+        /// The server's received position, queried after the commit.
         position: Position,
     },
-    /// The attempt failed by a statement of its own and was rolled back.
+    /// A statement of the attempt failed, and the attempt was rolled back.
     RolledBack {
-        /// The server's received position, asked behind the rollback; none when not asked.
+        /// The server's received position, queried after the rollback; `None` if not queried.
         position: Option<Position>,
     },
-    /// The back end said that it did not run the attempt: a replica, or a server that stops.
+    /// The back end reported that it did not execute the attempt, because it is a replica or is
+    /// shutting down.
     Rejected {
-        /// What to tell the caller if no other server takes it in time.
+        /// The reason to return if no other server accepts the write before the deadline.
         reason: Reason,
     },
-    /// The fence refused the epoch, so the attempt did not run.
+    /// The fence rejected the attempt's epoch, so the attempt did not run.
     Fenced,
-    /// The connection broke, or could not be opened.
+    /// The connection was lost or could not be opened.
     ConnectionLost,
-    /// The request key has a committed row on the server of the attempt.
+    /// The server that ran the attempt has a committed row for the request key.
     RecordFound {
-        /// The server's received position, asked behind the row in the same term.
+        /// The server's received position, queried after the row was read and in the same term.
         position: Position,
         /// Whether the row was written by the same statement.
         same_statement: bool,
     },
-    /// [`CommitAction::Settle`] inserted the key itself: no earlier copy committed in this log.
+    /// [`CommitAction::Settle`] could insert the key, so no earlier copy committed in this log.
     KeyAbsent {
-        /// The position of the settling transaction.
+        /// The position of the transaction that inserted and deleted the key.
         position: Position,
     },
     /// A newer view of the group.
     View(&'a GroupView),
-    /// Time has passed.
+    /// The deadline may have passed.
     Tick,
 }
 
-/// What the caller must do next.
+/// The next step that the caller must execute.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CommitAction {
-    /// Run the write from its start on the present primary; wait for one if there is none.
+    /// Run the write from its start on the current primary; wait for a primary if there is none.
     Attempt,
-    /// Find out on the present primary whether the request key was committed, by inserting and
-    /// deleting it in one transaction; an error 23505 means that it was.
+    /// Determine on the current primary whether the request key was committed, by inserting and
+    /// deleting the key in one transaction. Error 23505 (unique violation) means that it was.
     Settle,
     /// Probe the group now and report the views that follow.
     Probe,
-    /// Nothing until the next event; report `Tick` at [`super::CommitMachine::deadline`].
+    /// Wait for the next event; report `Tick` at [`super::CommitMachine::deadline`].
     Wait,
-    /// The end.
+    /// Stop: the outcome is final.
     Finish(CommitOutcome),
 }
 
-/// How a write ended.
+/// The final outcome of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CommitOutcome {
-    /// It is committed and confirmed, and the attempt's own answer may be given.
+    /// The write is committed and confirmed; the attempt's own answer may be returned.
     Done {
-        /// Where it stands, or a later confirmed position.
+        /// The write's position, or a later confirmed position.
         position: Position,
     },
-    /// An earlier copy is committed and confirmed; its recorded answer may be given.
+    /// An earlier copy is committed and confirmed; its recorded answer may be returned.
     Recorded {
         /// A confirmed position at or past the earlier copy.
         position: Position,
     },
-    /// A statement of its own failed and the back end's error may be given; it has no effect.
+    /// A statement of the write failed and the write has no effect; the back end's error may be
+    /// returned.
     RolledBack,
-    /// It has no effect and never will have.
+    /// The write has no effect and never will have one.
     NotRun(Reason),
-    /// Whether it has taken effect cannot be told.
+    /// It cannot be determined whether the write took effect.
     Unknown(Reason),
 }
--- a/crates/spurpier-core/src/commit/machine.rs
+++ b/crates/spurpier-core/src/commit/machine.rs
@@ -1,4 +1,4 @@
-//! The state machine of one write.
+//! The commit state machine.
 
 use std::time::Duration;
 
@@ -9,64 +9,65 @@
 use crate::reason::Reason;
 use crate::time::Timestamp;
 
-/// What the confirmation of a position will prove.
+/// What is proved once a position is confirmed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Claim {
     /// The attempt is committed.
     Committed,
     /// An earlier copy is committed.
     Recorded,
-    /// The key belongs to another statement.
+    /// The request key was committed by a different statement.
     KeyReused,
-    /// No earlier copy is committed, and the present one was rolled back.
+    /// No earlier copy is committed, and the current attempt was rolled back.
     RolledBack,
     /// No earlier copy is committed.
     KeyAbsent,
 }
 
-/// Where a write stands.
+/// The state of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// Nothing of the present attempt has left.
+    /// Nothing of the current attempt was sent.
     Unsent,
-    /// Bytes have left, the COMMIT has not.
+    /// The attempt was sent in part, without its COMMIT.
     Started,
-    /// The COMMIT has left.
+    /// The COMMIT was sent.
     CommitSent,
-    /// A position is known whose confirmation proves the claim.
+    /// Waiting for the position to be confirmed, which proves the claim.
     Confirming { position: Position, claim: Claim },
-    /// Nothing was written; it must still be shown that the server was the primary.
+    /// Nothing was written; waiting for proof that the server was still the primary at `since`.
     VerifyingPrimary {
         position: Position,
         since: Timestamp,
     },
-    /// The present primary is being asked whether the key was committed.
+    /// Querying the current primary whether the key was committed.
     Settling,
-    /// The end.
+    /// The outcome is final.
     Finished(CommitOutcome),
 }
 
-/// The state of one write.
+/// Decides for one write when to attempt it, retry it, confirm it and finish.
 #[derive(Debug, Clone)]
 pub struct CommitMachine {
     kind: WriteKind,
     phase: Phase,
-    /// Whether an earlier attempt may still be, or become, committed.
+    /// Whether an earlier attempt may be committed, or may still become committed.
     earlier_outstanding: bool,
-    /// Until when an attempt may start.
+    /// When the write fails if no attempt was started.
     start_deadline: Timestamp,
-    /// How long an outcome is sought after the first COMMIT has left.
+    /// How long to look for the outcome after a COMMIT was answered or lost.
     confirm_timeout: Duration,
-    /// When the outcome becomes unknown; none before the first COMMIT was answered or lost.
+    /// When the outcome becomes unknown; `None` before a COMMIT was answered or lost.
     confirm_deadline: Option<Timestamp>,
     starts: TermStarts,
 }
 
 impl CommitMachine {
-    /// A write of which nothing has left; the caller makes the first attempt.
+    /// Creates the state for a write that was not sent yet; the caller makes the first attempt.
     ///
-    /// `starts` is what the group's watcher has seen of terms so far. `start_deadline` bounds the
-    /// wait before anything is sent; `confirm_timeout` bounds the search for the outcome.
+    /// `starts` holds the terms that the group's watcher has observed so far. `start_deadline`
+    /// bounds the wait before anything is sent; `confirm_timeout` bounds the time spent on finding
+    /// the outcome.
     pub fn new(
         kind: WriteKind,
         start_deadline: Timestamp,
@@ -84,12 +85,12 @@
         }
     }
 
-    /// When `Tick` must be reported at the latest.
+    /// The time at which the caller must report `Tick` at the latest.
     pub fn deadline(&self) -> Timestamp {
         self.confirm_deadline.unwrap_or(self.start_deadline)
     }
 
-    /// The verdict, once there is one.
+    /// The final outcome; `None` while the write is in progress.
     pub fn outcome(&self) -> Option<CommitOutcome> {
         match self.phase {
             Phase::Finished(outcome) => Some(outcome),
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Takes in an event and says what to do next.
+    /// Handles an event and returns the caller's next step.
     pub fn step(&mut self, event: CommitEvent<'_>, now: Timestamp) -> CommitAction {
         if let Phase::Finished(outcome) = self.phase {
             return CommitAction::Finish(outcome);
@@ -138,7 +139,8 @@
         CommitAction::Wait
     }
 
-    /// A statement may run for long, so the time counts from the answer or the loss.
+    /// Called when an attempt is answered or lost: a statement's run time is not part of the
+    /// timeout, because it has no upper bound.
     fn start_confirm_timeout(&mut self, now: Timestamp) {
         let end = now + self.confirm_timeout;
         self.confirm_deadline.get_or_insert(end);
@@ -202,14 +204,15 @@
             Phase::Started => self.lost_before_commit(now),
             Phase::CommitSent => self.lost_after_commit(now),
             Phase::Settling => self.settle_again(now),
-            // The answer is known; the connection is no longer needed.
+            // The answer was received; the connection is no longer needed.
             Phase::Confirming { .. } | Phase::VerifyingPrimary { .. } | Phase::Finished(_) => {
                 CommitAction::Wait
             }
         }
     }
 
-    /// Without its COMMIT the back end rolls the attempt back.
+    /// Without a COMMIT the back end rolls the attempt back. An unkeyed batch is still unknown,
+    /// because its COMMIT is sent together with it.
     fn lost_before_commit(&mut self, now: Timestamp) -> CommitAction {
         match self.kind {
             WriteKind::Keyed => self.attempt_again(Reason::BackEndUnreachable, now),
@@ -248,7 +251,7 @@
         self.give_up(Reason::CommitUnknown)
     }
 
-    /// Ends an attempt that did not run; an earlier one may still have.
+    /// Finishes after an attempt that did not run; an earlier attempt may have committed.
     fn give_up(&mut self, reason: Reason) -> CommitAction {
         let outcome = if self.earlier_outstanding {
             CommitOutcome::Unknown(Reason::CommitUnknown)
@@ -298,7 +301,8 @@
         })
     }
 
-    /// The position is not confirmed in this view: a newer term decides, or time.
+    /// The position is not confirmed in this view: a newer term or the deadline determines the
+    /// next step.
     fn handle_unconfirmed(
         &mut self,
         position: Position,
@@ -323,8 +327,9 @@
         self.tick_confirming(now)
     }
 
-    /// A majority asked after the commit holds nothing newer than the server's own term, so no
-    /// write of a newer term was confirmed before: the server showed every confirmed write.
+    /// If a majority probed after the commit has no record newer than the server's term, no write
+    /// of a newer term was confirmed before. The server's answer thus reflected every confirmed
+    /// write.
     fn check_read_index(
         &mut self,
         position: Position,
@@ -351,7 +356,8 @@
             }
             Phase::Confirming { .. } => self.tick_confirming(now),
             Phase::Settling => self.give_up(Reason::CommitUnknown),
-            // A running statement has no deadline of its own here: its connection decides.
+            // A running statement has no deadline here; it ends with an answer or a lost
+            // connection.
             Phase::Started | Phase::CommitSent | Phase::Finished(_) => CommitAction::Wait,
         }
     }
--- a/crates/spurpier-core/src/commit/mod.rs
+++ b/crates/spurpier-core/src/commit/mod.rs
@@ -1,16 +1,17 @@
-//! The life of one write, from its first byte to a certain outcome.
+//! State machine that drives one write to a definite outcome across failovers.
 //!
-//! The caller carries out the [`CommitAction`] that each event returns and reports what came of
-//! it. Three rules hold whatever happens:
+//! The caller executes the [`CommitAction`] returned for each event and reports the result as the
+//! next [`CommitEvent`]. Three invariants hold under all faults:
 //!
-//! - `Done` is given only once the write is confirmed: no later primary can lack it.
-//! - `NotRun` is given only when no copy of the write that this machine started can take effect.
-//! - An unkeyed write is never attempted again once a byte of it has left, unless the back end
-//!   itself said that it did not run it.
+//! - `Done` is returned only after the write is confirmed, so that every later primary has it.
+//! - `NotRun` is returned only if no copy of the write started by this machine can take effect.
+//! - An unkeyed write is never attempted again after its first byte was sent, unless the back end
+//!   itself reported that it did not execute the write.
 //!
-//! A keyed write inserts its request key first and sends its COMMIT only after that insert has
-//! been answered. A later attempt therefore meets the key of an earlier one: it waits for its
-//! lock on the same primary, or finds its row, or runs in a log that lacks it.
+//! A keyed write inserts its request key first and sends its COMMIT only after that insert was
+//! answered. A later attempt therefore conflicts with the key of an earlier one: on the same
+//! primary it waits for the key's lock or finds the key's row; otherwise it runs on a log that
+//! does not contain the earlier attempt.
 
 mod event;
 mod machine;
--- a/crates/spurpier-core/src/commit/term_starts.rs
+++ b/crates/spurpier-core/src/commit/term_starts.rs
@@ -1,21 +1,21 @@
-//! The first record that is known of each term.
+//! The first known record of each term.
 
 use std::collections::BTreeMap;
 
 use crate::group::GroupView;
 use crate::position::Position;
 
-/// The lowest position seen in each term, which tells what a newer term replaced.
+/// The lowest position observed in each term, used to prove that a newer term discarded a record.
 ///
-/// Offsets count records across all terms, and terms never fall along a log. A log that holds a
-/// record of term `t` at offset `o` therefore holds no record of an older term at or past `o`.
+/// Offsets count records across all terms, and terms never decrease along a log. A log with a
+/// record of term `t` at offset `o` therefore has no record of an older term at or after `o`.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct TermStarts {
     lowest: BTreeMap<u64, u64>,
 }
 
 impl TermStarts {
-    /// Takes in the positions of a view.
+    /// Records the positions of a view.
     pub fn observe(&mut self, view: &GroupView) {
         let statuses = view
             .servers
@@ -28,9 +28,10 @@
         }
     }
 
-    /// Whether a confirmed record of a newer term stands at or before the offset of `position`.
+    /// Whether a confirmed record of a newer term is at or before the offset of `position`.
     ///
-    /// Every later log holds that record, so none can hold `position`: it is lost for good.
+    /// Every later log contains that record, so none can contain `position`: it is permanently
+    /// lost.
     pub fn proves_lost(&self, position: Position, view: &GroupView) -> bool {
         self.lowest
             .range(position.term + 1..)
--- a/crates/spurpier-core/src/statement/cache.rs
+++ b/crates/spurpier-core/src/statement/cache.rs
@@ -1,17 +1,17 @@
-//! A bounded cache of classifications, shared by all sessions of a node.
+//! A bounded cache of classified texts, shared by all sessions of a node.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
 
 use super::{ClassifiedText, classify};
 
-/// The longest text that is kept, in bytes; longer ones are classified each time.
+/// Longer texts are not cached but classified each time, which bounds the cache's memory.
 const MAX_CACHED_TEXT_BYTES: usize = 8 * 1024;
 
-/// Classifications by statement text, in two generations.
+/// A cache from query text to classification, with two generations.
 ///
-/// When the young generation is full it becomes the old one, and the former old one is dropped.
-/// A text found in the old generation moves back to the young one, so what is in use stays.
+/// When the young generation is full, it replaces the old generation, which is dropped. A hit in
+/// the old generation moves the entry to the young one, so that entries in use are retained.
 #[derive(Debug)]
 pub struct ClassificationCache {
     generation_capacity: usize,
@@ -25,7 +25,7 @@
 }
 
 impl ClassificationCache {
-    /// A cache of at most `capacity` texts.
+    /// Creates a cache of at most `capacity` texts, with a minimum of two.
     pub fn new(capacity: usize) -> Self {
         ClassificationCache {
             generation_capacity: (capacity / 2).max(1),
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The classification of `text`, from the cache or worked out now.
+    /// Returns the cached classification of `text`, or classifies it now and caches the result.
     pub fn classify(&self, text: &str) -> Arc<ClassifiedText> {
         if text.len() > MAX_CACHED_TEXT_BYTES {
             return Arc::new(classify(text));
@@ -46,13 +46,13 @@
         classified
     }
 
-    /// How many texts are kept now.
+    /// The number of cached texts.
     pub fn len(&self) -> usize {
         let generations = self.lock();
         generations.young.len() + generations.old.len()
     }
 
-    /// Whether nothing is kept.
+    /// Whether no text is cached.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/spurpier-core/src/statement/comment.rs
+++ b/crates/spurpier-core/src/statement/comment.rs
@@ -1,21 +1,20 @@
-//! What a client says of a request in comments, in the form of sqlcommenter.
+//! Request hints in SQL comments, in the sqlcommenter format (`key='value',...`).
 
 use super::split::TokenizedStatement;
 
-/// The comment keys that the proxy knows.
 const REQUEST_KEY: &str = "spurpier_request";
 const CLASS: &str = "spurpier_class";
 
-/// What a text's comments say of the request.
+/// Hints about a request, read from the comments of its text.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct CommentHints {
-    /// The value of `spurpier_request`.
+    /// The request key, from `spurpier_request`.
     pub request_key: Option<String>,
-    /// The value of `spurpier_class`.
+    /// The class that routing policies see, from `spurpier_class`.
     pub class: Option<String>,
 }
 
-/// The hints of all statements together; the first mention of each counts.
+/// Collects the hints of all statements; the first occurrence of each key wins.
 pub(super) fn find_hints(statements: &[TokenizedStatement]) -> CommentHints {
     let mut hints = CommentHints::default();
     for comment in statements.iter().flat_map(TokenizedStatement::comments) {
@@ -46,7 +45,7 @@
     }
 }
 
-/// Replaces `%XX` by its byte; none when the text is not valid.
+/// Decodes `%XX` sequences; `None` if a sequence is malformed or the result is not UTF-8.
 fn percent_decode(text: &str) -> Option<String> {
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
--- a/crates/spurpier-core/src/statement/control.rs
+++ b/crates/spurpier-core/src/statement/control.rs
@@ -1,10 +1,12 @@
-//! Transaction control: BEGIN, COMMIT, ROLLBACK and savepoints in all their spellings.
+//! Recognition of transaction control: BEGIN, COMMIT, ROLLBACK and savepoints in all spellings.
 
 use sqlparser::tokenizer::Token;
 
 use super::StatementClass;
 
-/// The class of a transaction control statement; none when the statement is another kind.
+/// Classifies a transaction control statement; `None` for any other statement.
+///
+/// `words` holds the statement's tokens without white space and comments.
 pub(super) fn classify_control(words: &[&Token]) -> Option<StatementClass> {
     let texts: Vec<String> = words.iter().map(|token| keyword(token)).collect();
     let keywords: Vec<&str> = texts.iter().map(String::as_str).collect();
@@ -79,7 +81,8 @@
     }
 }
 
-/// The token in upper case when it can be a keyword; a quoted identifier never is one.
+/// The token in upper case if it can be a keyword, and otherwise unchanged. A quoted identifier is
+/// never a keyword.
 pub(super) fn keyword(token: &Token) -> String {
     match token {
         Token::Word(word) if word.quote_style.is_none() => word.value.to_ascii_uppercase(),
@@ -87,7 +90,7 @@
     }
 }
 
-/// The token as an identifier: folded to lower case unless it is quoted.
+/// The token as an identifier, folded to lower case unless quoted.
 pub(super) fn identifier(token: &Token) -> String {
     match token {
         Token::Word(word) if word.quote_style.is_none() => word.value.to_lowercase(),
--- a/crates/spurpier-core/src/statement/digest.rs
+++ b/crates/spurpier-core/src/statement/digest.rs
@@ -1,43 +1,46 @@
-//! Digests of statements: for request keys and for names on back-end connections.
+//! Statement digests, used for request keys and for prepared statement names on back ends.
 
 use xxhash_rust::xxh3::{Xxh3, xxh3_128};
 
 use super::split::TokenizedStatement;
 
-/// The digest of a request's statements and parameters, built up piece by piece.
+/// An incremental digest of a request's statements and parameters.
 ///
-/// Each piece is hashed with its length, so that no two sequences of pieces run together.
+/// Each part is hashed together with its length, so that parts with different boundaries but the
+/// same concatenation have different digests.
 #[derive(Default)]
 pub struct RequestDigest {
     hasher: Xxh3,
 }
 
 impl RequestDigest {
-    /// A digest of nothing yet.
+    /// Creates an empty digest.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds a piece: a statement's text or a parameter's value.
-    pub fn add(&mut self, piece: &[u8]) {
-        let length = piece.len() as u64;
+    /// Adds a part: a statement's text or a parameter's value.
+    pub fn add(&mut self, part: &[u8]) {
+        let length = part.len() as u64;
         self.hasher.update(&length.to_le_bytes());
-        self.hasher.update(piece);
+        self.hasher.update(part);
     }
 
-    /// Adds a parameter that is null, which differs from every value.
+    /// Adds a null parameter, which is distinct from every value.
     pub fn add_null(&mut self) {
         self.hasher.update(&u64::MAX.to_le_bytes());
     }
 
-    /// The digest; never zero, which stands for a request without a key.
+    /// The digest. It is never zero, because zero represents a request without a key.
     pub fn finish(&self) -> u64 {
         self.hasher.digest().max(1)
     }
 }
 
-/// The name under which a statement is prepared on back-end connections: the same for the same
-/// text and parameter types, whichever session prepares it.
+/// The name under which a statement is prepared on back-end connections.
+///
+/// It depends only on the text and the parameter types (as OIDs), so that sessions which prepare
+/// the same statement share it on a connection.
 pub fn back_end_statement_name(text: &str, parameter_types: &[u32]) -> String {
     let mut input = Vec::with_capacity(text.len() + 4 * parameter_types.len() + 8);
     for type_oid in parameter_types {
@@ -49,7 +52,7 @@
     format!("spurpier_{:032x}", xxh3_128(&input))
 }
 
-/// The digest of the statements' tokens, so that comments and white space do not count.
+/// The digest of the statements' tokens, which ignores comments and white space.
 pub(super) fn digest_of_tokens(statements: &[TokenizedStatement]) -> u64 {
     let mut digest = RequestDigest::new();
     for statement in statements {
--- a/crates/spurpier-core/src/statement/functions.rs
+++ b/crates/spurpier-core/src/statement/functions.rs
@@ -1,9 +1,9 @@
-//! The functions that are known to have no effect beyond their result.
+//! The built-in functions that are known to have no side effects.
 
 use sqlparser::ast::ObjectName;
 
-/// Whether a call of the function is known to have no effect: it is on the list below, and not
-/// named by a schema other than `pg_catalog`.
+/// Whether the function is known to have no side effects: it is in `SIDE_EFFECT_FREE`, and its name
+/// has no schema or the schema `pg_catalog`.
 pub(super) fn is_side_effect_free(name: &ObjectName) -> bool {
     let mut parts = Vec::with_capacity(name.0.len());
     for part in &name.0 {
@@ -26,8 +26,10 @@
     SIDE_EFFECT_FREE.binary_search(&function).is_ok()
 }
 
-/// Built-in functions without effects, sorted. Functions that are volatile only in their result,
-/// such as `random`, are on it; `nextval`, `setval`, locks and everything unknown are not.
+/// Built-in functions without side effects, sorted for binary search.
+///
+/// Functions with a volatile result only, such as `random`, are included. `nextval`, `setval`, lock
+/// functions and everything unknown are not.
 const SIDE_EFFECT_FREE: &[&str] = &[
     "abs",
     "acos",
--- a/crates/spurpier-core/src/statement/mod.rs
+++ b/crates/spurpier-core/src/statement/mod.rs
@@ -1,7 +1,8 @@
-//! Classification of SQL texts: what each statement does, before anything of it is sent.
+//! Classification of SQL statements as reads, writes, transaction control and session commands.
 //!
-//! The rule is one-sided. A statement is a read only when its whole syntax tree is known to have
-//! no effect; everything else, and everything that cannot be parsed, counts as a write.
+//! Statements are classified before any part of them is sent to a back end. The classification is
+//! conservative: a statement is a read only if its whole syntax tree is known to have no side
+//! effects; everything else, including text that cannot be parsed, counts as a write.
 
 mod cache;
 mod comment;
@@ -24,16 +25,16 @@
 use session_command::classify_session_command;
 use split::{TokenizedStatement, split_statements};
 
-/// What one statement does.
+/// The kind of a statement, which determines how the proxy handles it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StatementClass {
-    /// It reads only.
+    /// It has no side effects.
     Read,
-    /// It writes, or may write.
+    /// It writes or may write.
     Write,
     /// It opens a transaction block.
     Begin {
-        /// Whether the client declared the block read-only.
+        /// Whether the statement declares the block read-only.
         read_only: bool,
     },
     /// It commits the transaction block.
@@ -46,11 +47,11 @@
     ReleaseSavepoint(String),
     /// It rolls back to the savepoint of this name.
     RollbackToSavepoint(String),
-    /// It changes a setting of the session.
+    /// It changes session settings of the database.
     Setting(SettingChange),
-    /// The proxy answers it from what it knows of the session.
+    /// The proxy answers it from its own session state.
     Local(LocalCommand),
-    /// It cannot be carried; the text says what it is.
+    /// The proxy cannot forward it; the text names the unsupported feature for the client.
     Unsupported(&'static str),
 }
 
@@ -61,7 +62,7 @@
         matches!(self, Begin { .. } | Commit | Rollback)
     }
 
-    /// Whether the statement must stand alone in what is sent to a back end.
+    /// Whether the statement must not be combined with others in one batch for a back end.
     pub fn must_be_sent_alone(&self) -> bool {
         !matches!(self, StatementClass::Read | StatementClass::Write)
     }
@@ -70,24 +71,24 @@
 /// One statement of a text.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClassifiedStatement {
-    /// Where it stands in the text, in bytes, without its semicolon.
+    /// Its byte range in the text, without the semicolon.
     pub range: Range<usize>,
-    /// What it does.
+    /// The kind of the statement.
     pub class: StatementClass,
 }
 
-/// All statements of a text and what the text's comments say.
+/// The statements of a text, and the hints in its comments.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct ClassifiedText {
-    /// The statements in order; empty statements are left out.
+    /// The statements in order, without empty ones.
     pub statements: Vec<ClassifiedStatement>,
-    /// What the client says of the request in comments.
+    /// Hints about the request that the client put in comments.
     pub hints: CommentHints,
-    /// A digest of the text's tokens; white space and comments do not count.
+    /// A digest of the text's tokens, which ignores white space and comments.
     pub token_digest: u64,
 }
 
-/// Classifies all statements of `text`.
+/// Classifies all statements of `text`; a text without valid tokens counts as one statement.
 pub fn classify(text: &str) -> ClassifiedText {
     let Some(tokenized) = split_statements(text) else {
         return classify_untokenizable(text);
@@ -103,8 +104,8 @@
     }
 }
 
-/// A text that has no valid tokens may hide transaction control behind a semicolon; such a text
-/// is refused, and any other counts as one write.
+/// Classifies a text that cannot be tokenized. Such a text may contain transaction control after a
+/// semicolon and is then unsupported; without a semicolon it counts as one write.
 fn classify_untokenizable(text: &str) -> ClassifiedText {
     let trimmed = text.trim_end().trim_end_matches(';');
     let class = if trimmed.contains(';') {
--- a/crates/spurpier-core/src/statement/query.rs
+++ b/crates/spurpier-core/src/statement/query.rs
@@ -1,4 +1,4 @@
-//! Reads told from writes by walking the whole syntax tree.
+//! Distinguishes reads from writes by visiting the whole syntax tree.
 
 use std::ops::ControlFlow;
 
@@ -14,7 +14,7 @@
 use super::control::keyword;
 use super::functions::is_side_effect_free;
 
-/// The class of any statement that is neither transaction control nor a session command.
+/// Classifies a statement that is neither transaction control nor a session command.
 pub(super) fn classify_query(text: &str, words: &[&Token]) -> StatementClass {
     if let Some(what) = unsupported_command(words) {
         return StatementClass::Unsupported(what);
@@ -26,7 +26,8 @@
     }
 }
 
-/// Commands that need a connection of their own, by their first words.
+/// The unsupported feature that the statement uses, recognized by its first keywords: commands that
+/// need a dedicated connection or leave state on the connection.
 fn unsupported_command(words: &[&Token]) -> Option<&'static str> {
     let texts: Vec<String> = words.iter().take(4).map(|token| keyword(token)).collect();
     let keywords: Vec<&str> = texts.iter().map(String::as_str).collect();
@@ -74,7 +75,8 @@
     }
 }
 
-/// Whether EXPLAIN's options run the statement, whatever value ANALYZE is given.
+/// Whether the options of EXPLAIN may execute the statement: ANALYZE counts with any value, even
+/// `false`.
 fn requests_execution(options: &[UtilityOption]) -> bool {
     options
         .iter()
@@ -85,7 +87,7 @@
     statement.visit(&mut SideEffectVisitor).is_continue()
 }
 
-/// Breaks off at the first node that may have an effect.
+/// Stops at the first syntax tree node that may have a side effect.
 struct SideEffectVisitor;
 
 impl SideEffectVisitor {
@@ -138,7 +140,8 @@
     }
 }
 
-/// Whether the body holds no data-modifying statement; its inner queries are visited on their own.
+/// Whether the body contains no data-modifying statement. Nested queries are checked when they are
+/// visited themselves.
 fn is_plain_body(body: &SetExpr) -> bool {
     match body {
         SetExpr::Select(_) | SetExpr::Query(_) | SetExpr::Values(_) | SetExpr::Table(_) => true,
--- a/crates/spurpier-core/src/statement/session_command.rs
+++ b/crates/spurpier-core/src/statement/session_command.rs
@@ -1,11 +1,11 @@
-//! Commands on the session itself: SET, RESET, SHOW, DISCARD and DEALLOCATE.
+//! Session commands: SET, RESET, SHOW, DISCARD and DEALLOCATE.
 
 use sqlparser::tokenizer::Token;
 
 use super::StatementClass;
 use super::control::{identifier, keyword};
 
-/// A change of one of the session's settings.
+/// A change of the session's database settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SettingChange {
     /// `SET name = value`.
@@ -24,21 +24,22 @@
     ResetAll,
 }
 
-/// A setting that the proxy itself holds for a session.
+/// A session setting that the proxy itself implements and never sends to a back end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProxySetting {
-    /// `spurpier.session`: the name of the session.
+    /// `spurpier.session`: the session's identifier.
     Session,
-    /// `spurpier.position`: the position token.
+    /// `spurpier.position`: the session's position token, which sets the minimum position of its
+    /// reads.
     Position,
-    /// `spurpier.class`: the class that policies see.
+    /// `spurpier.class`: the request class that routing policies see.
     Class,
-    /// `spurpier.request_key`: the key of the next write.
+    /// `spurpier.request_key`: the request key of the next write.
     RequestKey,
 }
 
 impl ProxySetting {
-    /// The setting of this name, given in lower case.
+    /// Looks up a setting by its name in lower case; `None` if the proxy does not define it.
     pub fn from_name(name: &str) -> Option<ProxySetting> {
         match name {
             "spurpier.session" => Some(ProxySetting::Session),
@@ -49,7 +50,7 @@
         }
     }
 
-    /// The setting's name.
+    /// The setting's name as clients write it.
     pub const fn name(self) -> &'static str {
         match self {
             ProxySetting::Session => "spurpier.session",
@@ -60,25 +61,26 @@
     }
 }
 
-/// A command that the proxy answers itself.
+/// A command that the proxy executes itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LocalCommand {
     /// Sets one of the proxy's own settings; an empty value clears it.
     Set {
-        /// Which setting.
+        /// The setting to change.
         setting: ProxySetting,
-        /// Its value, unquoted.
+        /// The new value, unquoted.
         value: String,
     },
     /// Shows one of the proxy's own settings.
     Show(ProxySetting),
-    /// `DEALLOCATE name`, or all statements without a name.
+    /// `DEALLOCATE name`, or `DEALLOCATE ALL` if there is no name.
     Deallocate(Option<String>),
     /// `DISCARD ALL`.
     DiscardAll,
 }
 
-/// Settings on which the classification or the home's work rests; clients may not change them.
+/// Settings on which the proxy's classification and execution of statements depend; clients must
+/// not change them.
 const FIXED_SETTINGS: &[&str] = &[
     "transaction_read_only",
     "standard_conforming_strings",
@@ -87,7 +89,9 @@
     "client_encoding",
 ];
 
-/// The class of a command on the session; none when the statement is another kind.
+/// Classifies a session command; `None` for any other statement.
+///
+/// `words` holds the statement's tokens without white space and comments.
 pub(super) fn classify_session_command(text: &str, words: &[&Token]) -> Option<StatementClass> {
     let first = keyword(words.first()?);
     let rest = &words[1..];
@@ -142,7 +146,7 @@
     Local,
 }
 
-/// Reads `name {= | TO} value` and `TIME ZONE value`.
+/// Parses `name {= | TO} value` and `TIME ZONE value`.
 fn classify_assignment(words: &[&Token], scope: Scope) -> StatementClass {
     const UNKNOWN: StatementClass = StatementClass::Unsupported("this form of SET");
     let keywords: Vec<String> = words.iter().take(2).map(|token| keyword(token)).collect();
@@ -190,7 +194,8 @@
     }
 }
 
-/// A name of one or more identifiers with dots, in lower case.
+/// The setting's name in lower case, of one or more identifiers separated by dots; `None` if the
+/// tokens are no such name.
 fn setting_name(tokens: &[&Token]) -> Option<String> {
     let mut name = String::new();
     for (index, token) in tokens.iter().enumerate() {
@@ -206,7 +211,7 @@
     is_name.then_some(name)
 }
 
-/// The value's SQL text; none when it is more than literals, words, signs and commas.
+/// The value as SQL text; `None` if it contains anything but literals, words, signs and commas.
 fn value_text(tokens: &[&Token]) -> Option<String> {
     let mut text = String::new();
     for token in tokens {
@@ -229,7 +234,7 @@
     (!text.is_empty()).then_some(text)
 }
 
-/// The token as SQL text; string literals are written anew with standard quoting.
+/// The token as SQL text; string literals are requoted with [`quote_literal`].
 fn token_text(token: &Token) -> String {
     match token {
         Token::SingleQuotedString(value) | Token::EscapedStringLiteral(value) => {
@@ -239,7 +244,7 @@
     }
 }
 
-/// `value` as an SQL string literal that means the same under every setting.
+/// Quotes `value` as an SQL string literal that is valid whatever `standard_conforming_strings` is.
 pub fn quote_literal(value: &str) -> String {
     let doubled = value.replace('\'', "''");
     if doubled.contains('\\') {
@@ -249,7 +254,7 @@
     }
 }
 
-/// The value as plain text, without quotes.
+/// The value as text without quotes.
 fn literal_text(tokens: &[&Token]) -> String {
     let texts = tokens.iter().map(|token| match token {
         Token::SingleQuotedString(value) | Token::EscapedStringLiteral(value) => value.clone(),
--- a/crates/spurpier-core/src/statement/split.rs
+++ b/crates/spurpier-core/src/statement/split.rs
@@ -1,29 +1,29 @@
-//! Cutting a text into its statements at the semicolons outside quotes and comments.
+//! Splits a text into statements at the semicolons outside quotes and comments.
 
 use std::ops::Range;
 
 use sqlparser::dialect::PostgreSqlDialect;
 use sqlparser::tokenizer::{Location, Token, TokenWithSpan, Tokenizer, Whitespace};
 
-/// One statement's tokens and where it stands.
+/// A statement's tokens and its location in the text.
 #[derive(Debug)]
 pub(super) struct TokenizedStatement {
-    /// The bytes of the text from the statement's first token to its last, comments included.
+    /// The byte range between the surrounding semicolons, including white space and comments.
     pub range: Range<usize>,
-    /// The tokens, white space and comments included.
+    /// The tokens, including white space and comments.
     pub tokens: Vec<Token>,
-    /// Whether anything but white space and comments is in it.
+    /// Whether there is any token other than white space and comments.
     has_significant_tokens: bool,
 }
 
 impl TokenizedStatement {
-    /// The tokens that carry meaning.
+    /// The tokens without white space and comments.
     pub fn significant_tokens(&self) -> Vec<&Token> {
         let meaningful = |token: &&Token| !matches!(token, Token::Whitespace(_));
         self.tokens.iter().filter(meaningful).collect()
     }
 
-    /// The texts of the block comments.
+    /// The contents of the block comments.
     pub fn comments(&self) -> impl Iterator<Item = &str> {
         self.tokens.iter().filter_map(|token| match token {
             Token::Whitespace(Whitespace::MultiLineComment(text)) => Some(text.as_str()),
@@ -32,7 +32,7 @@
     }
 }
 
-/// The statements of a text; none when its tokens are not valid.
+/// Splits a text into its non-empty statements; `None` if it cannot be tokenized.
 pub(super) fn split_statements(text: &str) -> Option<Vec<TokenizedStatement>> {
     let dialect = PostgreSqlDialect {};
     let tokens = Tokenizer::new(&dialect, text)
@@ -67,7 +67,7 @@
     }
 }
 
-/// Turns lines and columns, asked in rising order, into byte offsets.
+/// Converts lines and columns, queried in ascending order, to byte offsets.
 struct OffsetFinder<'text> {
     characters: std::str::CharIndices<'text>,
     text_length: usize,
