--- a/crates/spurpier-core/tests/commit.rs
+++ b/crates/spurpier-core/tests/commit.rs
@@ -1,4 +1,4 @@
-//! The commit machine: outcomes in the cases where a primary or a connection is lost.
+//! The commit state machine's outcomes when a primary or a connection is lost.
 
 use std::time::Duration;
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// Three servers; the first one with the newest term among `positions` is the primary.
+/// A view of three servers. The first one with the newest term among `positions` is the primary.
 fn view(positions: [Position; 3], asked: Timestamp) -> GroupView {
     let newest = positions.iter().map(|position| position.term).max();
     let primary = positions
@@ -203,7 +203,7 @@
     let newer_term = view([Position::new(1, 10), term_start, term_start], now(4));
     let action = machine.step(CommitEvent::View(&newer_term), now(4));
     assert_eq!(action, CommitAction::Attempt);
-    // The fence says nothing of the first attempt.
+    // The rejection by the fence proves nothing about the first attempt.
     let action = machine.step(CommitEvent::Fenced, now(5));
     let outcome = CommitOutcome::Unknown(Reason::CommitUnknown);
     assert_eq!(action, CommitAction::Finish(outcome));
--- a/crates/spurpier-core/tests/guarantees.rs
+++ b/crates/spurpier-core/tests/guarantees.rs
@@ -1,7 +1,8 @@
-//! Stateful fuzzing of the core's machines in a model with faults, judged by the oracle.
+//! Property tests of the core's state machines in a simulated cluster with faults; the oracle
+//! checks the guarantees on the recorded history.
 //!
-//! The seeds are fixed. Longer rounds by hand: `PROOF_SEED=7 PROOF_CASES=2000 cargo test -p
-//! spurpier-core --test guarantees`.
+//! The seeds are fixed. For more cases: `PROOF_SEED=7 PROOF_CASES=2000 cargo test -p spurpier-core
+//! --test guarantees`.
 
 mod model;
 
@@ -12,7 +13,8 @@
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 
 const DEFAULT_SEED: u64 = 1;
-/// Its cases stop a primary just after cuts, whose silence may still depose that primary.
+/// Generates cases that stop a primary just after a partition has healed. Replicas may still depose
+/// that primary then, because they missed its heartbeats.
 const SEED_WITH_STOPS_AFTER_PARTITIONS: u64 = 3;
 const DEFAULT_CASES: u64 = 256;
 
--- a/crates/spurpier-core/tests/model/client.rs
+++ b/crates/spurpier-core/tests/model/client.rs
@@ -1,4 +1,5 @@
-//! Client sessions: they roam, time out, repeat keyed requests, and note down what they saw.
+//! Client sessions: they move between proxies, time out, retry keyed requests, and record what
+//! they observed in the history.
 
 use spurpier_core::identity::{DatabaseName, GroupId, Side};
 use spurpier_core::position::Position;
@@ -14,7 +15,7 @@
 const MAX_RETRIES: u32 = 3;
 const RETRY_DELAY: u64 = 40 * MILLISECOND;
 
-/// What a client asks for.
+/// A request of a client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Work {
     Read { row: u8, fresh: bool },
@@ -42,7 +43,7 @@
     pub setting: u64,
 }
 
-/// What a read gave.
+/// The result of a read.
 #[derive(Debug, Clone)]
 pub struct ReadAnswer {
     pub tag: String,
@@ -81,9 +82,10 @@
 #[derive(Debug)]
 pub struct Client {
     index: usize,
-    /// Whether it carries its position token to the next proxy.
+    /// Whether the client passes its position token to the next proxy.
     keeps_token: bool,
     floors: ReadFloors,
+    /// The node and its incarnation.
     connected_to: Option<(usize, u64)>,
     running: Option<Running>,
     pending_retry: Option<Running>,
@@ -112,7 +114,8 @@
         }
     }
 
-    /// The floors that the proxy knows after the client has connected to it.
+    /// Sets the minimum positions that the proxy knows after the client connected: none on a new
+    /// connection, except those in the position token.
     fn connect(&mut self, node: usize, incarnation: u64) {
         let connected_to = Some((node, incarnation));
         if self.connected_to != connected_to {
@@ -128,7 +131,7 @@
 }
 
 impl World {
-    /// A client starts a unit, unless it is busy.
+    /// Starts a unit, unless the client still runs one or is about to retry one.
     pub fn client_request(&mut self, client: usize, node: usize, work: Work) {
         let state = &self.clients[client];
         if state.running.is_some() || state.pending_retry.is_some() {
@@ -186,7 +189,7 @@
             retries_left,
         });
         if !self.nodes[node].up {
-            // The connection is refused, so nothing was sent.
+            // The connection was refused, so nothing was sent.
             let outcome = Outcome::NotRun;
             self.send_to_client(
                 client,
@@ -232,7 +235,7 @@
         self.schedule_after(delay, Event::Client { client, body });
     }
 
-    /// The proxy is not there.
+    /// Reports to the client that its connection was lost, because the proxy is not running.
     pub fn refuse_connection(&mut self, spec: &UnitSpec) {
         self.send_to_client(spec.client, ToClient::ConnectionLost { unit: spec.unit });
     }
@@ -373,7 +376,7 @@
         self.history.units.push(unit);
     }
 
-    /// Notes the units that were never answered, at the end of a case.
+    /// Records the units that were never answered, at the end of a case.
     pub fn record_unanswered(&mut self) {
         for client in 0..self.clients.len() {
             if let Some(running) = self.clients[client].running.take() {
--- a/crates/spurpier-core/tests/model/group.rs
+++ b/crates/spurpier-core/tests/model/group.rs
@@ -1,4 +1,5 @@
-//! A group's own doing: replication, elections, hand-over, and following the other side.
+//! Behavior of a server group: replication, elections, transfer of the primary role, and copying
+//! from the other side.
 
 use std::rc::Rc;
 
@@ -12,20 +13,23 @@
 use super::world::{Event, TICK, World, servers_of};
 
 const MAJORITY: usize = ZONES / 2 + 1;
+/// A replica that has not heard from a primary for this long starts an election. Each server adds
+/// its own offset, so that candidates do not collide.
 const ELECTION_TIMEOUT: u64 = 150 * MILLISECOND;
-/// A leaving server waits this long for its clients to go elsewhere.
+/// How long a leaving server waits for its clients to move to other servers.
 const LEAVING_GRACE: u64 = 3_200 * MILLISECOND;
-/// A server that has heard of a primary this recently votes for no other.
+/// A server that heard from a primary within this time votes for no other server.
 const VOTE_HOLDOFF: u64 = 100 * MILLISECOND;
-/// A server that has not heard of its primary for this long has missed a heartbeat.
+/// A server that has not heard from its primary for this long has missed a heartbeat.
 const HEARTBEAT_TIMEOUT: u64 = 2 * TICK;
-/// What is left of a cut after its links are healed.
+/// The kind of fault that remains after a partition is healed, until all heard their primary.
 const MISSED_HEARTBEATS: &str = "missed_heartbeats";
 
 impl World {
-    /// Notes which servers a cut has kept from hearing their primary, just before it is healed.
+    /// Records which servers missed heartbeats because of a partition, just before it is healed.
     ///
-    /// Their election timers ran on, so the cut may still depose the primary after the healing.
+    /// Their election timers kept running, so the partition may still depose the primary after it
+    /// was healed.
     pub fn record_missed_heartbeats(&mut self) {
         if !self.network.cut.iter().flatten().any(|cut| *cut) {
             return;
@@ -41,7 +45,8 @@
         }
     }
 
-    /// Ends what a cut has left once a group has one term and all have heard its primary.
+    /// Ends the missed heartbeats of a group once all its running servers have the newest term and
+    /// have heard from its primary.
     fn end_missed_heartbeats(&mut self, side: Side) {
         let servers = &self.servers[servers_of(side)];
         let names: Vec<FaultScope> = servers
@@ -133,7 +138,8 @@
         self.step_down(to);
     }
 
-    /// A server that has heard of a newer term leads no more; its open transactions end.
+    /// Ends a server's primary role after it learned of a newer term; open transactions are rolled
+    /// back.
     fn step_down(&mut self, server: usize) {
         if self.servers[server].role == ServerRole::Primary {
             self.servers[server].role = ServerRole::Replica;
@@ -181,7 +187,7 @@
         self.replicate(candidate);
     }
 
-    /// A server that was asked to stop stops once no transaction is open on it.
+    /// Stops a leaving server after its grace period, once it has no open transaction or request.
     fn stop_if_leaving(&mut self, server: usize) {
         let state = &self.servers[server];
         let idle = state
@@ -197,7 +203,7 @@
         self.end_planned_stop(server);
     }
 
-    /// Notes that a server is down, whether a planned stop of it ended so or a fault came first.
+    /// Records the end of a server's planned stop, whether it completed or a fault came first.
     pub fn end_planned_stop(&mut self, server: usize) {
         let target = StopTarget::Server(self.servers[server].name.clone());
         let stops = self.history.planned_stops.iter_mut();
@@ -206,7 +212,7 @@
         }
     }
 
-    /// A leaving primary hands over to a server that has all of its log.
+    /// Transfers the primary role from a leaving primary to a server that has its whole log.
     fn transfer_if_leaving(&mut self, server: usize) {
         if !self.servers[server].leaving || self.servers[server].has_open_transactions() {
             return;
@@ -228,7 +234,7 @@
             .iter()
             .all(|voter| self.servers[*voter].vote_term < term);
         if let Some(successor) = successor.filter(|_| free && reachable.len() >= MAJORITY) {
-            // No transaction is open, so no connection need be dropped.
+            // No transaction is open, so the connections can stay open.
             self.servers[server].role = ServerRole::Replica;
             self.elect(successor, &reachable, term);
         }
@@ -251,7 +257,8 @@
         self.history.back_end.push(event);
     }
 
-    /// The new side copies what a majority of the old side holds, until its fence opens.
+    /// Copies the records that a majority of the old side has to the new side, until the new side's
+    /// fence is opened.
     fn follow_other_side(&mut self, server: usize) {
         if self.servers[server].side == Side::Old || self.servers[server].tables.epoch > 0 {
             return;
--- a/crates/spurpier-core/tests/model/network.rs
+++ b/crates/spurpier-core/tests/model/network.rs
@@ -1,4 +1,4 @@
-//! Links between zones: delays, order within a connection, and cuts.
+//! Links between zones: delays, message order within a connection, and partitions.
 
 use std::collections::BTreeMap;
 
@@ -7,16 +7,17 @@
 
 pub const ZONES: usize = 3;
 pub const MILLISECOND: u64 = 1_000;
+/// The maximum extra delay of a late message.
 const MAX_LATE_DELAY: u64 = 400 * MILLISECOND;
 
 #[derive(Debug)]
 pub struct Network {
     pub random: StdRng,
-    /// Whether messages from one zone to another are lost.
+    /// Whether messages are lost, by source zone and destination zone.
     pub cut: [[bool; ZONES]; ZONES],
-    /// Whether one message in five is late.
+    /// Whether one message in five has an extra delay.
     pub late: bool,
-    /// When the last message on each directed channel arrives.
+    /// When the last message arrives, by connection and direction (`true` towards the server).
     arrivals: BTreeMap<(u64, bool), u64>,
 }
 
@@ -54,7 +55,7 @@
         usual
     }
 
-    /// When a message that leaves now arrives, behind the earlier ones of its connection.
+    /// When a message sent now arrives; messages of a connection and direction arrive in order.
     pub fn arrival_time(&mut self, now: u64, connection: u64, towards_server: bool) -> u64 {
         let delay = self.delay();
         let last = self
--- a/crates/spurpier-core/tests/model/node/connections.rs
+++ b/crates/spurpier-core/tests/model/node/connections.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl World {
-    /// Sends statements of a unit on its connection, or on one leased for it.
+    /// Sends statements of a unit on its connection; acquires a connection if it has none.
     pub(super) fn send(
         &mut self,
         node: usize,
@@ -21,7 +21,7 @@
         let leased = state
             .connections
             .get_mut(&connection)
-            .expect("it was leased");
+            .expect("it was acquired");
         leased.outstanding.push_back(unit);
         self.send_request(node, server, connection, statements.into());
     }
@@ -55,7 +55,7 @@
         number
     }
 
-    /// A connection that is clean and idle serves the next unit.
+    /// Releases a unit's connection for reuse by the next unit.
     pub(super) fn release_connection(&mut self, node: usize, unit: u64) {
         let state = &mut self.nodes[node];
         let connection = state
@@ -117,7 +117,7 @@
             return;
         }
         if matches!(replies.first(), Some(Reply::Ok)) && replies.len() > 1 {
-            // The answer to the setting, or to BEGIN, says nothing more.
+            // The answer to the setting or to BEGIN carries no information.
             replies.remove(0);
         }
         if self.nodes[node]
--- a/crates/spurpier-core/tests/model/node/handover.rs
+++ b/crates/spurpier-core/tests/model/node/handover.rs
@@ -1,9 +1,9 @@
-//! A node's part in handing a database over.
+//! A node's part in the handover of a database to the new side.
 
 use super::*;
 
 impl World {
-    /// Takes part in the handover that the policy in force asks for.
+    /// Advances the handover that the current policy requires.
     pub(super) fn drive_handover(&mut self, node: usize) {
         let Some(version) = self.nodes[node].policy() else {
             return;
@@ -39,7 +39,7 @@
             HandoverAction::OpenFence(epoch) => {
                 self.send_handover_statements(node, Side::New, vec![Statement::OpenFence { epoch }])
             }
-            // Every node probes both sides all the time.
+            // Every node probes both sides periodically.
             HandoverAction::ProbeSource
             | HandoverAction::ProbeTarget
             | HandoverAction::Done
@@ -59,7 +59,7 @@
             let leased = self.nodes[node]
                 .connections
                 .get_mut(&connection)
-                .expect("it was leased");
+                .expect("it was acquired");
             leased.outstanding.push_back(HANDOVER_UNIT);
             self.send_request(node, server, connection, statements.into());
         }
@@ -86,9 +86,9 @@
     }
 }
 
-/// What the answer to an action says; none if it failed for a reason that may pass.
+/// Converts the replies to an action to an event; `None` after a failure that may be transient.
 fn handover_event(side: Side, replies: &[Reply]) -> Option<HandoverEvent<'static>> {
-    // The answer to the setting of a leased connection says nothing.
+    // The answer to the setting of a new connection carries no information.
     let replies = match replies {
         [Reply::Ok, rest @ ..] => rest,
         replies => replies,
--- a/crates/spurpier-core/tests/model/node/mod.rs
+++ b/crates/spurpier-core/tests/model/node/mod.rs
@@ -1,4 +1,4 @@
-//! A node: it carries out what the machines of `spurpier-core` decide.
+//! A proxy node, which executes the decisions of the state machines of `spurpier-core`.
 
 mod connections;
 mod handover;
@@ -35,35 +35,36 @@
 const UNIT_TIMEOUT: Duration = Duration::from_millis(1_200);
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(1_500);
 const HANDOVER_INTERVAL: u64 = 100 * MILLISECOND;
-/// A stopping node answers what clients had sent before they heard of the stop.
+/// The minimum time that a stopping node keeps running. Clients may still send requests until they
+/// learn of the stop, and the node must answer these.
 const MIN_DRAIN: u64 = 100 * MILLISECOND;
 const PROBE_INTERVAL: u64 = 50 * MILLISECOND;
 const UNREACHABLE_TIMEOUT: u64 = 120 * MILLISECOND;
-/// Stands for the handover among the units whose answers are outstanding.
+/// The unit number of the handover among the outstanding answers of a connection.
 const HANDOVER_UNIT: u64 = 0;
 const MAX_REPLICA_WAIT: Duration = Duration::from_millis(30);
 
-/// What a node knows of a group.
+/// A node's view of a group and the group's history.
 #[derive(Debug)]
 struct Watch {
     view: GroupView,
     history: GroupHistory,
 }
 
-/// Where a unit stands.
+/// The progress of a unit.
 #[derive(Debug, Clone)]
 enum Stage {
-    /// A read that needs the read index of its arrival.
+    /// A read waits for a read index that is at least as recent as its arrival.
     AwaitIndex { upstream: bool },
-    /// A unit that waits for a server that may run it.
+    /// A unit waits for a server that may run it.
     AwaitServer,
-    /// A keyed transaction whose outcome is to be asked of the primary.
+    /// A keyed transaction waits for a primary on which its outcome can be looked up.
     AwaitSettle,
-    /// Statements are at the back end, or the commit machine waits for views.
+    /// Statements were sent to the back end, or the commit state machine waits for views.
     Running,
     /// An open transaction waits for its client.
     AwaitClient,
-    /// A read's answer is held until all that it shows is confirmed.
+    /// A read's answer is held back until everything that it reflects is confirmed.
     AwaitConfirmation {
         answer: ReadAnswer,
         status: ServerStatus,
@@ -105,9 +106,9 @@
     pub deferred: VecDeque<ToNode>,
     pub spread: Spread<OwnedDocument>,
     gate: StartGate,
-    /// Whether the gate at the start is taken out.
+    /// Whether `gate` is ignored, for a breakage test.
     pub gate_disabled: bool,
-    /// The version in force where the mechanism is taken out.
+    /// The version that a peer announced last, used without checks for a breakage test.
     pub unchecked_policy: Option<u64>,
     watches: [Watch; 2],
     handover: Option<Handover>,
@@ -171,7 +172,7 @@
         &self.watch(side).view
     }
 
-    /// Forgets everything, as a process that was started anew.
+    /// Resets the node to the state of a newly started process.
     pub fn restart(&mut self) {
         let gate_disabled = self.gate_disabled;
         *self = Node {
@@ -181,7 +182,7 @@
         };
     }
 
-    /// The policy version in force; none until the node has learnt one.
+    /// The current policy version; `None` while the node may not serve.
     fn policy(&self) -> Option<u64> {
         let version = self.unchecked_policy.unwrap_or(self.spread.version());
         let known = self.spread.version() > 0;
@@ -196,7 +197,7 @@
         Timestamp::from_micros(self.now)
     }
 
-    /// Kills a node: its connections break wherever they are.
+    /// Kills a node; all its connections to clients and servers are lost.
     pub fn kill_node(&mut self, node: usize) {
         let connections = std::mem::take(&mut self.nodes[node].connections);
         for (connection, state) in connections {
--- a/crates/spurpier-core/tests/model/node/reads.rs
+++ b/crates/spurpier-core/tests/model/node/reads.rs
@@ -1,4 +1,4 @@
-//! Reads: choosing a server, and holding the answer until all it shows is confirmed.
+//! Reads: choosing a server, and holding the answer back until everything it reflects is confirmed.
 
 use super::*;
 
--- a/crates/spurpier-core/tests/model/node/units.rs
+++ b/crates/spurpier-core/tests/model/node/units.rs
@@ -1,4 +1,4 @@
-//! A unit from its arrival to its end, whatever it does.
+//! The lifecycle of a unit, for reads and writes alike.
 
 use super::*;
 
@@ -16,7 +16,7 @@
         });
         let placement = self.platform.placement(version);
         let side = placement.side;
-        // A session that has been on the new side knows of a newer policy than this node.
+        // A session with a position on the new side has used a newer policy than this node's.
         let behind_session = side == Side::Old && spec.floors.floor(&group(Side::New)).is_some();
         if behind_session && self.breakage != Breakage::ReadsIgnoreFence {
             self.send_outcome(&spec, Outcome::NotRun, None, None);
@@ -42,7 +42,7 @@
             CommitMachine::new(kind, now + UNIT_TIMEOUT, CONFIRM_TIMEOUT, starts)
         });
         let needs_index = machine.is_none() && (fresh || floor.is_none());
-        // Until the new side is open, it may lack writes of the old one.
+        // Until the new side's fence is opened, it may lack writes of the old side.
         let open = self.nodes[node].handover.as_ref();
         let open = open.is_some_and(|handover| {
             handover.epoch() == placement.epoch && handover.step() == HandoverStep::Done
@@ -72,7 +72,7 @@
         self.progress(node, unit);
     }
 
-    /// Does what a unit's stage waits for, if it can be done now.
+    /// Advances a unit to its next stage if the condition it waits for is met.
     pub(super) fn progress(&mut self, node: usize, unit: u64) {
         let Some(running) = self.nodes[node].units.get(&unit) else {
             return;
@@ -129,7 +129,8 @@
         }
     }
 
-    /// The client has vanished: nothing of the unit may reach another.
+    /// Ends a unit whose client disconnected. Its connection is closed, so that no answer or open
+    /// transaction of the unit reaches another session.
     pub(super) fn abandon(&mut self, node: usize, unit: u64) {
         let Some(running) = self.nodes[node].units.remove(&unit) else {
             return;
@@ -146,7 +147,7 @@
             let connection = self.nodes[node]
                 .connections
                 .get_mut(&number)
-                .expect("it is leased");
+                .expect("it was acquired");
             connection.outstanding.clear();
             connection.idle = true;
         } else {
--- a/crates/spurpier-core/tests/model/node/writes.rs
+++ b/crates/spurpier-core/tests/model/node/writes.rs
@@ -1,4 +1,4 @@
-//! Writes, as the commit machine drives them.
+//! Writes, driven by the commit state machine.
 
 use super::*;
 
@@ -102,7 +102,7 @@
         }
     }
 
-    /// The statements before COMMIT were answered.
+    /// Continues a write after the statements before its COMMIT succeeded.
     pub(super) fn handle_insert_replies(&mut self, node: usize, unit: u64) {
         let running = self.nodes[node].units.get_mut(&unit).expect("it is there");
         if running.spec.kind == UnitKind::Transaction {
@@ -147,7 +147,7 @@
         }
     }
 }
-/// How a unit's write is sent; none for a read.
+/// The kind of a unit's write; `None` for a read.
 pub(super) fn write_kind(spec: &UnitSpec) -> Option<WriteKind> {
     match (spec.kind, spec.key.is_some()) {
         (UnitKind::Read(_), _) => None,
--- a/crates/spurpier-core/tests/model/platform.rs
+++ b/crates/spurpier-core/tests/model/platform.rs
@@ -1,4 +1,4 @@
-//! The platform with its faults, operators that race, and policies on their way to the nodes.
+//! The platform and its faults, concurrent operators, and the distribution of policies to nodes.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -27,7 +27,7 @@
     None,
     Down,
     Slow,
-    /// Calls take effect, some of them late, and their answers are lost.
+    /// Transactions take effect, some of them late, and answers may be lost.
     EffectWithoutAnswer,
 }
 
@@ -44,7 +44,7 @@
 #[derive(Debug)]
 pub enum ToOperator {
     Answer(PublishEvent),
-    /// A transaction arrives at the platform, whose answer may be lost.
+    /// A transaction arrives at the platform; `answered` is whether its answer is delivered.
     Transact {
         head_row_version: u64,
         head: PolicyHead,
@@ -66,7 +66,7 @@
         self.head.head.as_ref().map_or(0, |head| head.version)
     }
 
-    /// Where version `version` puts the database's writes.
+    /// The placement of the database's writes in policy version `version`.
     pub fn placement(&self, version: u64) -> Placement {
         let head = self.history.get(&version);
         let document = head.and_then(|head| self.documents.get(&head.digest));
@@ -93,7 +93,7 @@
 }
 
 impl World {
-    /// An operator publishes a policy that it bases on `expect_version`.
+    /// Starts an operator that publishes a policy based on version `expect_version`.
     pub fn publish(&mut self, side: Side, expect_version: u64) {
         let operator = self.platform.operators.len();
         let request = PublishRequest {
@@ -117,7 +117,7 @@
         );
     }
 
-    /// How long a call to the platform takes; none when it fails.
+    /// How long a call to the platform takes; `None` if it fails.
     fn call_duration(&mut self) -> Option<u64> {
         match self.platform.fault {
             PlatformFault::Down => None,
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Nodes tell random peers their policy version, as their membership messages do.
+    /// Announces each node's policy version to a random peer, as membership messages do.
     pub fn platform_tick(&mut self) {
         if self.platform.gossiped_at + GOSSIP_INTERVAL > self.now {
             return;
@@ -258,7 +258,7 @@
         }
     }
 
-    /// A datagram between nodes: it may be lost with a cut.
+    /// Sends a datagram between nodes, which is lost if the zones are partitioned.
     fn send_peer(&mut self, from: usize, to: usize, body: ToNode) {
         if from != to
             && self
--- a/crates/spurpier-core/tests/model/server.rs
+++ b/crates/spurpier-core/tests/model/server.rs
@@ -1,4 +1,4 @@
-//! A database server: log, tables, transactions, locks and connections.
+//! A simulated database server: log, tables, transactions, locks and connections.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -73,7 +73,7 @@
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum Statement {
-    /// BEGIN, the fence check (unless none is asked), and the insert of the key.
+    /// BEGIN, the fence check if `epoch` is given, and the insert of the request key.
     Begin {
         epoch: Option<u64>,
         key: Option<RequestKey>,
@@ -82,9 +82,9 @@
         unit: u64,
         writes: Vec<Write>,
     },
-    /// COMMIT and the question for its position.
+    /// COMMIT and the query for its position.
     Commit,
-    /// Inserts and deletes the key in one transaction.
+    /// Inserts and deletes the request key in one transaction.
     Settle {
         key: RequestKey,
     },
@@ -132,7 +132,7 @@
         epoch: u64,
         open: bool,
     },
-    /// An earlier statement failed, or no transaction is open.
+    /// Not executed, because an earlier statement failed or no transaction is open.
     Skipped,
 }
 
@@ -169,7 +169,7 @@
     setting: u64,
 }
 
-/// What one step of a connection gave.
+/// The result of one step of a connection.
 pub enum Step {
     Idle,
     Blocked,
@@ -272,7 +272,7 @@
         self.applied = self.log.len();
     }
 
-    /// Takes over a primary's log; what differs from it is truncated.
+    /// Replaces the log by a primary's log and truncates the records that differ from it.
     pub fn replace_log(&mut self, log: &Rc<Vec<Record>>) {
         let common = self
             .log
@@ -291,14 +291,15 @@
         }
     }
 
-    /// Opens a term as its primary; a new primary applies what it received first.
+    /// Starts a term as its primary, which first applies all records that it has received.
     pub fn become_primary(&mut self, term: u64, now: u64) {
         self.vote_term = term;
         self.role = ServerRole::Primary;
         self.append(Effect::TermStart, now, None);
     }
 
-    /// Drops every connection; transactions are rolled back. Gives the connections and owners.
+    /// Drops every connection and rolls back its transaction. Returns each connection with the node
+    /// and incarnation that own it.
     pub fn drop_connections(&mut self) -> Vec<(u64, usize, u64)> {
         let dropped = std::mem::take(&mut self.connections);
         let owner = |(number, connection): (u64, Connection)| {
@@ -364,7 +365,7 @@
         Step::Progress
     }
 
-    /// Runs one statement; none when it must wait for a lock.
+    /// Runs one statement; `None` if it must wait for a lock.
     fn run(
         &mut self,
         number: u64,
@@ -524,7 +525,7 @@
             .connections
             .get_mut(&number)
             .expect("it runs a statement");
-        // As in PostgreSQL, BEGIN within a transaction goes on with that one.
+        // As in PostgreSQL, BEGIN within a transaction continues that transaction.
         connection.transaction.get_or_insert(transaction);
     }
 
--- a/crates/spurpier-core/tests/model/transition.rs
+++ b/crates/spurpier-core/tests/model/transition.rs
@@ -1,4 +1,4 @@
-//! The transitions of a case, and the state machine test that applies them.
+//! The random transitions of a case, and how the world applies them.
 
 use proptest::prelude::*;
 use proptest_state_machine::ReferenceStateMachine;
@@ -15,7 +15,7 @@
 use super::server::Effect;
 use super::world::{CLIENTS, DATABASE, World, servers_of};
 
-/// One step of a case: something is asked, breaks, heals, or time passes.
+/// One step of a case: a request, a fault, a repair, or the passing of time.
 #[derive(Debug, Clone)]
 pub enum Transition {
     Advance {
@@ -33,7 +33,7 @@
     CutZone {
         zone: usize,
     },
-    /// The old side's primary is cut off from its group; nodes still reach it or not.
+    /// Partitions the zone of the old side's primary from the other zones.
     IsolatePrimary,
     HealLinks,
     LateMessages {
@@ -64,6 +64,7 @@
     StopPrimary,
     Publish {
         side: Side,
+        /// How many versions before the current one the operator bases its policy on.
         versions_behind: u64,
     },
     PlatformFault {
@@ -71,7 +72,7 @@
     },
 }
 
-/// The part of a case that its transitions are generated from.
+/// The seed of a case's network delays; the transitions are generated separately.
 #[derive(Debug, Clone)]
 pub struct Case {
     pub seed: u64,
@@ -145,7 +146,7 @@
 
 impl World {
     pub fn apply(&mut self, transition: &Transition) {
-        // No two transitions stand at the same time in the history.
+        // Each transition has its own time in the history.
         self.run_for(1);
         match transition {
             Transition::Advance { millis } => self.run_for(millis * MILLISECOND),
@@ -209,7 +210,7 @@
                 versions_behind,
             } => {
                 let version = self.platform.version();
-                // A database that has moved is not moved back.
+                // A database that was moved to the new side is not moved back.
                 let moved = self.platform.placement(version).side == Side::New;
                 let side = if moved { Side::New } else { *side };
                 self.publish(side, version.saturating_sub(*versions_behind));
@@ -239,7 +240,7 @@
         primaries.max_by_key(|server| self.servers[*server].vote_term)
     }
 
-    /// Cuts the primary's zone off; the node of that zone still reaches it.
+    /// Partitions the primary's zone; only the node in that zone can still reach the primary.
     fn isolate_primary(&mut self) {
         if let Some(primary) = self.primary_of(Side::Old) {
             self.apply(&Transition::CutZone {
@@ -296,7 +297,7 @@
     }
 
     fn start_planned_server_stop(&mut self, server: usize) {
-        // Operators stop one server of a group at a time, so that a majority stays.
+        // Operators stop one server of a group at a time, so that a majority keeps running.
         let mut group = servers_of(self.servers[server].side);
         if group.any(|member| !self.servers[member].up || self.servers[member].leaving) {
             return;
@@ -316,7 +317,8 @@
         });
     }
 
-    /// Heals everything, lets all work end, notes what is there, and asks the oracle.
+    /// Heals all faults, lets all work finish, records the surviving rows, and returns the
+    /// violations that the oracle finds in the history.
     pub fn finish_and_check(&mut self) -> Violations {
         for _ in 0..3 {
             self.apply(&Transition::HealLinks);
--- a/crates/spurpier-core/tests/model/world.rs
+++ b/crates/spurpier-core/tests/model/world.rs
@@ -1,4 +1,4 @@
-//! The world: virtual time, the queue of events, and who handles what.
+//! The simulated world: virtual time, the event queue, and the dispatch of events.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -16,12 +16,12 @@
 use super::server::{Record, Reply, Request, Server, Statement, Step};
 
 pub const TICK: u64 = 10 * MILLISECOND;
-/// After which a party notices that its connection broke without a word.
+/// How long it takes to detect a connection that was lost without a notification.
 pub const SILENT_LOSS_TIMEOUT: u64 = 200 * MILLISECOND;
 pub const DATABASE: &str = "d";
 pub const CLIENTS: usize = 6;
 
-/// The servers of a side.
+/// The indexes of a side's servers.
 pub fn servers_of(side: Side) -> std::ops::Range<usize> {
     match side {
         Side::Old => 0..ZONES,
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub enum ToNode {
     Open(Box<UnitSpec>),
-    /// The client's next statement of an open transaction; the last one commits.
+    /// The client's next statement in an open transaction; `commit` ends the transaction.
     Next {
         unit: u64,
         commit: bool,
@@ -52,7 +52,7 @@
         asked_at: u64,
         status: Box<ServerStatus>,
     },
-    /// A peer told its policy version.
+    /// A peer announced its policy version.
     PeerVersion {
         peer: usize,
         version: u64,
@@ -99,7 +99,7 @@
         client: usize,
         body: ToClient,
     },
-    /// The client's own timer for a unit.
+    /// The client's timeout for a unit.
     ClientTimer {
         client: usize,
         unit: u64,
@@ -155,7 +155,7 @@
         world
     }
 
-    /// A number that nothing else has.
+    /// Returns a number that is unique in this world.
     pub fn unique_number(&mut self) -> u64 {
         self.next_number += 1;
         self.next_number
@@ -255,7 +255,7 @@
         self.handle_node_message(node, body);
     }
 
-    /// Lets a frozen node handle what has arrived meanwhile, in order.
+    /// Thaws a frozen node, which then handles the messages that arrived meanwhile, in order.
     pub fn thaw(&mut self, node: usize) {
         self.nodes[node].frozen = false;
         let deferred = std::mem::take(&mut self.nodes[node].deferred);
@@ -347,7 +347,7 @@
         }
         let state = &mut self.servers[server];
         let known = state.connections.contains_key(&connection);
-        // The first request opens the connection; a leaving server opens none.
+        // The first request opens the connection; a leaving server accepts no new ones.
         let opens = request
             .statements
             .front()
@@ -366,7 +366,7 @@
         self.schedule_step(server, connection);
     }
 
-    /// A leaving server refuses the connection before any statement is sent on it.
+    /// Refuses a connection to a leaving server before any statement is sent on it.
     fn refuse_open(&mut self, (node, incarnation): (usize, u64), connection: u64) {
         let replies = vec![Reply::Rejected];
         let time = self.network.arrival_time(self.now, connection, false);
@@ -393,7 +393,7 @@
         self.schedule_after(delay, Event::ServerStep { server, connection });
     }
 
-    /// Lets every connection of a server try again what it waits for.
+    /// Lets every connection of a server retry the statement that waits for a lock.
     pub fn wake_server(&mut self, server: usize) {
         let connections: Vec<u64> = self.servers[server].connections.keys().copied().collect();
         for connection in connections {
@@ -476,10 +476,10 @@
         );
     }
 
-    /// Drops a server's connections, and lets the nodes know.
+    /// Drops a server's connections and notifies the nodes.
     pub fn drop_server_connections(&mut self, server: usize) {
         for (connection, node, incarnation) in self.servers[server].drop_connections() {
-            // The end of a connection arrives behind the answers on it.
+            // The end of a connection arrives after the answers on it.
             let delay = self.network.arrival_time(self.now, connection, false) - self.now;
             self.notify_connection_lost((node, incarnation), connection, delay);
         }
--- a/crates/spurpier-core/tests/oracle_breakages.rs
+++ b/crates/spurpier-core/tests/oracle_breakages.rs
@@ -1,4 +1,6 @@
-//! The oracle notices each mechanism that is taken out, and nothing while all are in.
+//! The oracle detects each disabled mechanism, and reports no violation while all are enabled.
+//!
+//! This guards against checks that pass because the oracle overlooks violations.
 
 mod model;
 
@@ -13,7 +15,7 @@
 use spurpier_core::identity::Side;
 use spurpier_rehearsal::oracle::{Guarantee, Violations};
 
-/// The mechanisms, each taken out in turn.
+/// The breakages to test, one at a time.
 const BREAKAGES: [Breakage; 16] = [
     Breakage::ConfirmationSkipped,
     Breakage::FloorIgnored,
@@ -33,11 +35,11 @@
     Breakage::StopDoesNotDrain,
 ];
 
-/// The seed of the cases, and how many are tried before a breakage counts as unnoticed.
+/// The seed of the cases, and how many are run before a breakage counts as undetected.
 const SEED: u64 = 4;
 const CASES: usize = 400;
 
-/// The guarantee that a breakage must be seen to break.
+/// The guarantee whose violation the oracle must report; `None` without a breakage.
 fn violated_guarantee(breakage: Breakage) -> Option<Guarantee> {
     Some(match breakage {
         Breakage::None => return None,
@@ -69,7 +71,9 @@
     world.finish_and_check()
 }
 
-/// Breakages that need a rare order of events are shown by a scenario under many delays.
+/// A scenario for a breakage that is visible only in a rare order of events, which random
+/// transitions seldom produce; `None` for the other breakages. The seed of a case varies the
+/// network delays.
 fn scenario(breakage: Breakage) -> Option<Vec<Transition>> {
     use Transition as T;
     let request = |client, node, work| T::Request { client, node, work };
@@ -140,7 +144,7 @@
         let Some(transitions) = scenario(breakage) else {
             continue;
         };
-        let guarantee = violated_guarantee(breakage).expect("a mechanism is taken out");
+        let guarantee = violated_guarantee(breakage).expect("a mechanism is disabled");
         let detected = (0..CASES as u64).map(|seed| Case { seed }).find(|case| {
             let intact = run(case, &transitions, Breakage::None);
             assert!(
@@ -151,7 +155,7 @@
             run(case, &transitions, breakage).count(guarantee) > 0
         });
         println!(
-            "{breakage:?}: {} broken in {detected:?}",
+            "{breakage:?}: {} violated in {detected:?}",
             guarantee.as_str()
         );
         if detected.is_none() {
@@ -168,7 +172,7 @@
         if scenario(breakage).is_some() {
             continue;
         }
-        let guarantee = violated_guarantee(breakage).expect("a mechanism is taken out");
+        let guarantee = violated_guarantee(breakage).expect("a mechanism is disabled");
         let config = Config {
             rng_seed: RngSeed::Fixed(SEED),
             ..Config::default()
@@ -190,7 +194,7 @@
         let step = (1..=transitions.len())
             .find(|steps| run(&case, &transitions[..*steps], breakage).count(guarantee) > 0);
         println!(
-            "{breakage:?}: {} broken in case {number} of seed {SEED} at step {step:?}",
+            "{breakage:?}: {} violated in case {number} of seed {SEED} at step {step:?}",
             guarantee.as_str()
         );
         let intact = run(&case, &transitions, Breakage::None);
--- a/crates/spurpier-core/tests/proof/mod.rs
+++ b/crates/spurpier-core/tests/proof/mod.rs
@@ -1,8 +1,8 @@
-//! How many random cases a state machine is played with, and from which seed.
+//! Configuration of the property tests: the number of cases and the seed.
 
 use proptest::test_runner::{Config, RngSeed};
 
-/// The seed where `PROOF_SEED` names none, so that each run draws the same cases.
+/// The seed without `PROOF_SEED`; a fixed one, so that each run generates the same cases.
 const DEFAULT_SEED: u64 = 1;
 
 fn env_number(variable: &str, default: u64) -> u64 {
@@ -10,12 +10,12 @@
     text.map_or(default, |text| text.parse().expect("a number"))
 }
 
-/// The cases that `PROOF_CASES` asks for, or so many.
+/// The number of cases from `PROOF_CASES`, or else `default`.
 pub fn cases(default: u64) -> u64 {
     env_number("PROOF_CASES", default)
 }
 
-/// So many cases from the seed.
+/// A configuration of `cases` cases, with the seed from `PROOF_SEED` or else the default one.
 pub fn config(cases: u64) -> Config {
     Config {
         cases: u32::try_from(cases).expect("few cases"),
--- a/crates/spurpier-core/tests/statement_classification.rs
+++ b/crates/spurpier-core/tests/statement_classification.rs
@@ -1,4 +1,4 @@
-//! The classifier: what is a read, what is not, and that no write ever counts as a read.
+//! Statement classification; above all, that no write is classified as a read.
 
 use proptest::prelude::*;
 use proptest::test_runner::{RngSeed, TestRunner};
@@ -246,7 +246,7 @@
     let name = back_end_statement_name("SELECT $1", &[23]);
     assert_eq!(name, back_end_statement_name("SELECT $1", &[23]));
     assert_ne!(name, back_end_statement_name("SELECT $1", &[]));
-    assert!(name.len() < 64, "PostgreSQL cuts longer names");
+    assert!(name.len() < 64, "PostgreSQL truncates longer names");
 }
 
 #[test]
@@ -261,7 +261,7 @@
     }
 }
 
-/// A statement that writes, in many shapes.
+/// Generates statements that write, in many syntactic forms.
 fn writing_statement() -> impl Strategy<Value = String> {
     let name = "[a-z][a-z0-9_]{0,6}";
     let leaf = prop_oneof![
@@ -305,7 +305,7 @@
     prop_oneof![leaf, nested, explained]
 }
 
-/// Changes that do not change what a text does: case, space and comments.
+/// Changes the case, white space and comments, which have no influence on the effect of a text.
 fn vary_spelling(text: &str, upper: bool, comments: u8) -> String {
     let text = match upper {
         true => text.to_uppercase(),
@@ -338,7 +338,7 @@
         prop_assert_eq!(last, Some(&StatementClass::Write), "{}", text);
         Ok(())
     });
-    checked.expect("no write is called a read");
+    checked.expect("no write is classified as a read");
 }
 
 #[test]
@@ -381,5 +381,5 @@
         }
         Ok(())
     });
-    checked.expect("no text panics");
+    checked.expect("every range is valid, and no text panics");
 }
