--- a/crates/spurpier-core/src/statement/control.rs
+++ b/crates/spurpier-core/src/statement/control.rs
@@ -11,14 +11,16 @@
     let texts: Vec<String> = words.iter().map(|token| keyword(token)).collect();
     let keywords: Vec<&str> = texts.iter().map(String::as_str).collect();
     let class = match keywords.as_slice() {
-        ["BEGIN", "TRANSACTION" | "WORK", modes @ ..] | ["BEGIN", modes @ ..] => begin(modes),
-        ["START", "TRANSACTION", modes @ ..] => begin(modes),
+        ["BEGIN", "TRANSACTION" | "WORK", modes @ ..] | ["BEGIN", modes @ ..] => {
+            classify_begin(modes)
+        }
+        ["START", "TRANSACTION", modes @ ..] => classify_begin(modes),
         ["COMMIT" | "END" | "ABORT" | "ROLLBACK", "PREPARED", ..] => {
             StatementClass::Unsupported("two-phase commit")
         }
         ["PREPARE", "TRANSACTION", ..] => StatementClass::Unsupported("two-phase commit"),
-        ["COMMIT" | "END", rest @ ..] => end(rest, StatementClass::Commit),
-        ["ROLLBACK" | "ABORT", rest @ ..] => rollback(rest, words),
+        ["COMMIT" | "END", rest @ ..] => classify_end(rest, StatementClass::Commit),
+        ["ROLLBACK" | "ABORT", rest @ ..] => classify_rollback(rest, words),
         ["SAVEPOINT", _] => StatementClass::Savepoint(identifier(words[1])),
         ["RELEASE", "SAVEPOINT", _] => StatementClass::ReleaseSavepoint(identifier(words[2])),
         ["RELEASE", _] => StatementClass::ReleaseSavepoint(identifier(words[1])),
@@ -30,7 +32,7 @@
     Some(class)
 }
 
-fn begin(modes: &[&str]) -> StatementClass {
+fn classify_begin(modes: &[&str]) -> StatementClass {
     let mut read_only = false;
     let mut rest = modes;
     loop {
@@ -60,7 +62,7 @@
     }
 }
 
-fn end(rest: &[&str], class: StatementClass) -> StatementClass {
+fn classify_end(rest: &[&str], class: StatementClass) -> StatementClass {
     match rest {
         [] | ["WORK" | "TRANSACTION"] => class,
         ["AND", "NO", "CHAIN"] | ["WORK" | "TRANSACTION", "AND", "NO", "CHAIN"] => class,
@@ -68,7 +70,7 @@
     }
 }
 
-fn rollback(rest: &[&str], words: &[&Token]) -> StatementClass {
+fn classify_rollback(rest: &[&str], words: &[&Token]) -> StatementClass {
     match rest {
         ["TO", "SAVEPOINT", _]
         | ["TO", _]
@@ -77,7 +79,7 @@
             let name = words.last().map(|token| identifier(token));
             StatementClass::RollbackToSavepoint(name.unwrap_or_default())
         }
-        _ => end(rest, StatementClass::Rollback),
+        _ => classify_end(rest, StatementClass::Rollback),
     }
 }
 
--- a/crates/spurpier-core/src/statement/query.rs
+++ b/crates/spurpier-core/src/statement/query.rs
@@ -16,8 +16,8 @@
 
 /// Classifies a statement that is neither transaction control nor a session command.
 pub(super) fn classify_query(text: &str, words: &[&Token]) -> StatementClass {
-    if let Some(what) = unsupported_command(words) {
-        return StatementClass::Unsupported(what);
+    if let Some(feature) = unsupported_command(words) {
+        return StatementClass::Unsupported(feature);
     }
     let dialect = PostgreSqlDialect {};
     match Parser::parse_sql(&dialect, text).as_deref() {
--- a/crates/spurpier-core/src/statement/session_command.rs
+++ b/crates/spurpier-core/src/statement/session_command.rs
@@ -151,7 +151,7 @@
     const UNKNOWN: StatementClass = StatementClass::Unsupported("this form of SET");
     let keywords: Vec<String> = words.iter().take(2).map(|token| keyword(token)).collect();
     if keywords == ["TIME", "ZONE"] {
-        return assignment("timezone".to_owned(), &words[2..], scope);
+        return classify_setting("timezone".to_owned(), &words[2..], scope);
     }
     let name_length = words
         .iter()
@@ -160,12 +160,12 @@
         return UNKNOWN;
     };
     match setting_name(&words[..name_length]) {
-        Some(name) => assignment(name, &words[name_length + 1..], scope),
+        Some(name) => classify_setting(name, &words[name_length + 1..], scope),
         None => UNKNOWN,
     }
 }
 
-fn assignment(name: String, value: &[&Token], scope: Scope) -> StatementClass {
+fn classify_setting(name: String, value: &[&Token], scope: Scope) -> StatementClass {
     if FIXED_SETTINGS.contains(&name.as_str()) {
         return StatementClass::Unsupported("SET of a setting that the proxy holds");
     }
--- a/crates/spurpier-core/tests/model/group.rs
+++ b/crates/spurpier-core/tests/model/group.rs
@@ -82,7 +82,7 @@
             }
             if self.servers[server].role == ServerRole::Primary {
                 self.replicate(server);
-                self.follow_other_side(server);
+                self.copy_from_old_side(server);
                 self.transfer_if_leaving(server);
             } else {
                 if self.servers[server].applying {
@@ -160,13 +160,13 @@
             .filter(|voter| {
                 let server = &self.servers[*voter];
                 let reachable = self.network.can_exchange(zone, server.zone);
-                let free = *voter == candidate
+                let may_vote = *voter == candidate
                     || server.primary_heard_at + VOTE_HOLDOFF < now
                     || now < ELECTION_TIMEOUT * 3;
                 let is_primary = server.role == ServerRole::Primary;
                 server.up
                     && reachable
-                    && free
+                    && may_vote
                     && !is_primary
                     && server.vote_term < term
                     && server.received() <= received
@@ -194,8 +194,8 @@
             .connections
             .values()
             .all(|each| each.transaction.is_none() && each.requests.is_empty());
-        let announced = state.leaving_since + LEAVING_GRACE < self.now;
-        if !state.leaving || !announced || !idle {
+        let grace_elapsed = state.leaving_since + LEAVING_GRACE < self.now;
+        if !state.leaving || !grace_elapsed || !idle {
             return;
         }
         self.drop_server_connections(server);
@@ -230,10 +230,10 @@
                 && self.servers[*other].received() == received
         });
         let term = self.servers[server].vote_term + 1;
-        let free = reachable
+        let is_new_term = reachable
             .iter()
             .all(|voter| self.servers[*voter].vote_term < term);
-        if let Some(successor) = successor.filter(|_| free && reachable.len() >= MAJORITY) {
+        if let Some(successor) = successor.filter(|_| is_new_term && reachable.len() >= MAJORITY) {
             // No transaction is open, so the connections can stay open.
             self.servers[server].role = ServerRole::Replica;
             self.elect(successor, &reachable, term);
@@ -259,7 +259,7 @@
 
     /// Copies the records that a majority of the old side has to the new side, until the new side's
     /// fence is opened.
-    fn follow_other_side(&mut self, server: usize) {
+    fn copy_from_old_side(&mut self, server: usize) {
         if self.servers[server].side == Side::Old || self.servers[server].tables.epoch > 0 {
             return;
         }
--- a/crates/spurpier-core/tests/model/node/mod.rs
+++ b/crates/spurpier-core/tests/model/node/mod.rs
@@ -222,9 +222,9 @@
             ToNode::ConnectionLost { connection } => self.handle_connection_lost(node, connection),
             ToNode::Probe {
                 server,
-                asked_at,
+                requested_at,
                 status,
-            } => self.handle_probe_reply(node, server, asked_at, *status),
+            } => self.handle_probe_reply(node, server, requested_at, *status),
             ToNode::PeerVersion { peer, version } => {
                 let peer = NodeKey(peer as u64);
                 self.spread_event(node, SpreadEvent::PeerVersion { peer, version });
@@ -252,8 +252,8 @@
             self.progress(node, unit);
             self.time_out_read(node, unit, now);
         }
-        let announced = self.nodes[node].draining_since + MIN_DRAIN < self.now;
-        if self.nodes[node].draining && announced && self.nodes[node].units.is_empty() {
+        let min_drain_elapsed = self.nodes[node].draining_since + MIN_DRAIN < self.now;
+        if self.nodes[node].draining && min_drain_elapsed && self.nodes[node].units.is_empty() {
             self.stop_node(node);
         }
     }
@@ -279,12 +279,12 @@
         let now = self.now;
         let watches = self.nodes[node].watches.iter_mut();
         for server in watches.flat_map(|watch| &mut watch.view.servers) {
-            let asked_at = server
+            let requested_at = server
                 .observed
                 .as_ref()
                 .map(|observed| observed.requested_at);
-            server.reachable =
-                asked_at.is_some_and(|asked_at| asked_at.as_micros() + UNREACHABLE_TIMEOUT > now);
+            server.reachable = requested_at
+                .is_some_and(|requested_at| requested_at.as_micros() + UNREACHABLE_TIMEOUT > now);
         }
     }
 
@@ -292,7 +292,7 @@
         &mut self,
         node: usize,
         server: usize,
-        asked_at: u64,
+        requested_at: u64,
         mut status: ServerStatus,
     ) {
         if self.breakage == Breakage::TermParentIgnored {
@@ -304,7 +304,7 @@
         let side = self.servers[server].side;
         let watch = &mut self.nodes[node].watches[side as usize];
         let known = &mut watch.view.servers[server % ZONES];
-        let requested_at = Timestamp::from_micros(asked_at);
+        let requested_at = Timestamp::from_micros(requested_at);
         if known
             .observed
             .as_ref()
--- a/crates/spurpier-core/tests/model/world.rs
+++ b/crates/spurpier-core/tests/model/world.rs
@@ -49,7 +49,7 @@
     },
     Probe {
         server: usize,
-        asked_at: u64,
+        requested_at: u64,
         status: Box<ServerStatus>,
     },
     /// A peer announced its policy version.
@@ -74,7 +74,7 @@
         server: usize,
         node: usize,
         incarnation: u64,
-        asked_at: u64,
+        requested_at: u64,
     },
     ServerStep {
         server: usize,
@@ -201,9 +201,9 @@
                 server,
                 node,
                 incarnation,
-                asked_at,
+                requested_at,
             } => {
-                self.server_probe(server, node, incarnation, asked_at);
+                self.server_probe(server, node, incarnation, requested_at);
             }
             Event::ServerStep { server, connection } => self.server_step(server, connection),
             Event::ServerDrop { server, connection } => {
@@ -304,7 +304,7 @@
                 server,
                 node,
                 incarnation,
-                asked_at: self.now,
+                requested_at: self.now,
             },
         );
     }
@@ -454,7 +454,7 @@
         }
     }
 
-    fn server_probe(&mut self, server: usize, node: usize, incarnation: u64, asked_at: u64) {
+    fn server_probe(&mut self, server: usize, node: usize, incarnation: u64, requested_at: u64) {
         let (server_zone, node_zone) = (self.servers[server].zone, self.nodes[node].zone);
         if !self.servers[server].up || !self.network.can_exchange(server_zone, node_zone) {
             return;
@@ -463,7 +463,7 @@
         let delay = self.network.delay();
         let body = ToNode::Probe {
             server,
-            asked_at,
+            requested_at,
             status,
         };
         self.schedule_after(
