--- a/crates/spurpier-core/src/commit/event.rs
+++ b/crates/spurpier-core/src/commit/event.rs
@@ -62,7 +62,7 @@
     Fenced,
     /// The connection was lost or could not be opened.
     ConnectionLost,
-    /// The server that ran the attempt has a committed row for the request key.
+    /// The server has a committed row for the request key.
     RecordFound {
         /// The server's received position, queried after the row was read and in the same term.
         position: Position,
--- a/crates/spurpier-core/tests/model/group.rs
+++ b/crates/spurpier-core/tests/model/group.rs
@@ -64,8 +64,9 @@
         let mut running = servers.iter().filter(|server| server.up);
         let term = servers.iter().map(|server| server.vote_term).max();
         let recovered = running.all(|server| {
-            let heard = server.role == ServerRole::Primary || server.primary_heard_at > recorded_at;
-            Some(server.vote_term) == term && heard
+            let heard_primary =
+                server.role == ServerRole::Primary || server.primary_heard_at > recorded_at;
+            Some(server.vote_term) == term && heard_primary
         });
         if recovered {
             self.end_faults(|fault| {
--- a/crates/spurpier-core/tests/model/node/handover.rs
+++ b/crates/spurpier-core/tests/model/node/handover.rs
@@ -13,11 +13,11 @@
             return;
         }
         let state = &mut self.nodes[node];
-        let known = state
+        let current = state
             .handover
             .take()
-            .filter(|known| known.epoch() == placement.epoch);
-        let mut handover = known.unwrap_or_else(|| Handover::new(placement.epoch));
+            .filter(|current| current.epoch() == placement.epoch);
+        let mut handover = current.unwrap_or_else(|| Handover::new(placement.epoch));
         let (old, new) = (state.view(Side::Old).clone(), state.view(Side::New).clone());
         handover.handle_event(&HandoverEvent::SourceView(&old));
         let action = handover.handle_event(&HandoverEvent::TargetView(&new));
--- a/crates/spurpier-core/tests/model/node/mod.rs
+++ b/crates/spurpier-core/tests/model/node/mod.rs
@@ -104,7 +104,7 @@
     pub draining: bool,
     pub draining_since: u64,
     pub deferred: VecDeque<ToNode>,
-    pub spread: Spread<OwnedDocument>,
+    pub distribution: Spread<OwnedDocument>,
     gate: StartGate,
     /// Whether `gate` is ignored, for a breakage test.
     pub gate_disabled: bool,
@@ -147,7 +147,7 @@
             draining: false,
             draining_since: 0,
             deferred: VecDeque::new(),
-            spread: Spread::new(OwnedDocument::default(), Arc::default(), zone as u64),
+            distribution: Spread::new(OwnedDocument::default(), Arc::default(), zone as u64),
             gate: StartGate::default(),
             gate_disabled: false,
             unchecked_policy: None,
@@ -184,10 +184,10 @@
 
     /// The current policy version; `None` while the node may not serve.
     fn policy(&self) -> Option<u64> {
-        let version = self.unchecked_policy.unwrap_or(self.spread.version());
-        let known = self.spread.version() > 0;
-        let serves = known
-            && (self.gate.may_serve(self.spread.version()) || self.gate_disabled)
+        let version = self.unchecked_policy.unwrap_or(self.distribution.version());
+        let has_policy = self.distribution.version() > 0;
+        let serves = has_policy
+            && (self.gate.may_serve(self.distribution.version()) || self.gate_disabled)
             && !self.draining;
         serves.then_some(version)
     }
@@ -227,13 +227,13 @@
             } => self.handle_probe_reply(node, server, requested_at, *status),
             ToNode::PeerVersion { peer, version } => {
                 let peer = NodeKey(peer as u64);
-                self.spread_event(node, SpreadEvent::PeerVersion { peer, version });
+                self.handle_distribution_event(node, SpreadEvent::PeerVersion { peer, version });
             }
-            ToNode::Spread(event) => {
+            ToNode::Distribution(event) => {
                 if let SpreadEvent::HeadRead(Ok(version)) = *event {
                     self.nodes[node].gate.head_read(version);
                 }
-                self.spread_event(node, *event);
+                self.handle_distribution_event(node, *event);
             }
         }
     }
@@ -243,7 +243,7 @@
             self.probe_all(node);
         }
         self.update_reachability(node);
-        self.spread_event(node, SpreadEvent::Watching(true));
+        self.handle_distribution_event(node, SpreadEvent::Watching(true));
         self.drive_handover(node);
         let now = self.timestamp();
         let units: Vec<u64> = self.nodes[node].units.keys().copied().collect();
@@ -303,20 +303,20 @@
         }
         let side = self.servers[server].side;
         let watch = &mut self.nodes[node].watches[side as usize];
-        let known = &mut watch.view.servers[server % ZONES];
+        let server_view = &mut watch.view.servers[server % ZONES];
         let requested_at = Timestamp::from_micros(requested_at);
-        if known
+        if server_view
             .observed
             .as_ref()
             .is_some_and(|observed| observed.requested_at > requested_at)
         {
             return;
         }
-        known.observed = Some(ObservedStatus {
+        server_view.observed = Some(ObservedStatus {
             requested_at,
             status,
         });
-        known.reachable = true;
+        server_view.reachable = true;
         watch.history.observe(&watch.view);
         let units: Vec<u64> = self.nodes[node].units.keys().copied().collect();
         for unit in units {
--- a/crates/spurpier-core/tests/model/platform.rs
+++ b/crates/spurpier-core/tests/model/platform.rs
@@ -244,7 +244,7 @@
         for from in 0..self.nodes.len() {
             let node = &self.nodes[from];
             if node.up && !node.frozen {
-                let version = node.spread.version();
+                let version = node.distribution.version();
                 let to = self.network.random_below(self.nodes.len() as u64) as usize;
                 self.send_peer(
                     from,
@@ -278,24 +278,24 @@
         }
     }
 
-    pub fn spread_event(&mut self, node: usize, event: SpreadEvent) {
+    pub fn handle_distribution_event(&mut self, node: usize, event: SpreadEvent) {
         let now = Timestamp::from_micros(self.now);
         if let (Breakage::PolicyVersionMayDecrease, SpreadEvent::PeerVersion { version, .. }) =
             (self.breakage, &event)
         {
             self.nodes[node].unchecked_policy = Some(*version);
         }
-        for action in self.nodes[node].spread.handle(now, event) {
-            self.spread_act(node, action);
+        for action in self.nodes[node].distribution.handle(now, event) {
+            self.perform_distribution_action(node, action);
         }
     }
 
-    fn spread_act(&mut self, node: usize, action: SpreadAction) {
+    fn perform_distribution_action(&mut self, node: usize, action: SpreadAction) {
         let sender = NodeKey(node as u64);
         match action {
             SpreadAction::Send { to, message, .. } => {
                 let event = SpreadEvent::Received { sender, message };
-                self.send_peer(node, to.0 as usize, ToNode::Spread(Box::new(event)));
+                self.send_peer(node, to.0 as usize, ToNode::Distribution(Box::new(event)));
             }
             SpreadAction::Push { message, .. } => {
                 for to in 0..self.nodes.len() {
@@ -303,7 +303,7 @@
                         sender,
                         message: message.clone(),
                     };
-                    self.send_peer(node, to, ToNode::Spread(Box::new(event)));
+                    self.send_peer(node, to, ToNode::Distribution(Box::new(event)));
                 }
             }
             SpreadAction::ReadHead => {
@@ -337,7 +337,7 @@
             Event::Node {
                 node,
                 incarnation,
-                body: ToNode::Spread(Box::new(event)),
+                body: ToNode::Distribution(Box::new(event)),
             },
         );
     }
--- a/crates/spurpier-core/tests/model/world.rs
+++ b/crates/spurpier-core/tests/model/world.rs
@@ -57,7 +57,7 @@
         peer: usize,
         version: u64,
     },
-    Spread(Box<SpreadEvent>),
+    Distribution(Box<SpreadEvent>),
 }
 
 #[derive(Debug)]
@@ -346,17 +346,17 @@
             return;
         }
         let state = &mut self.servers[server];
-        let known = state.connections.contains_key(&connection);
+        let is_open = state.connections.contains_key(&connection);
         // The first request opens the connection; a leaving server accepts no new ones.
         let opens = request
             .statements
             .front()
             .is_some_and(|first| matches!(first, Statement::Set { .. }));
-        if state.up && state.leaving && !known && opens {
+        if state.up && state.leaving && !is_open && opens {
             self.refuse_open(owner, connection);
             return;
         }
-        if !state.up || (!known && (state.leaving || !opens)) {
+        if !state.up || (!is_open && (state.leaving || !opens)) {
             self.notify_connection_lost(owner, connection, MILLISECOND);
             return;
         }
