--- a/crates/spurpier-core/src/quota/authority.rs
+++ b/crates/spurpier-core/src/quota/authority.rs
@@ -96,7 +96,7 @@
     pub fn grant(
         &mut self,
         tenant: &str,
-        want: PermitDemand,
+        demand: PermitDemand,
         jitter: f64,
         now: Timestamp,
     ) -> Grant {
@@ -111,20 +111,20 @@
         // All grants since this authority gained its majority were made here, so the bucket counts
         // from that time.
         let state = state.or_insert_with(|| TenantState {
-            bucket: TokenBucket::started_at(Budget::for_rate(want.rate, bound), majority_since),
-            rate: want.rate,
-            version: want.version,
+            bucket: TokenBucket::started_at(Budget::for_rate(demand.rate, bound), majority_since),
+            rate: demand.rate,
+            version: demand.version,
             last_requested_at: now,
         });
         state.last_requested_at = now;
-        if state.version < want.version {
-            state.version = want.version;
-            state.rate = want.rate;
+        if state.version < demand.version {
+            state.version = demand.version;
+            state.rate = demand.rate;
             state
                 .bucket
-                .set_budget(Budget::for_rate(want.rate, bound), now);
+                .set_budget(Budget::for_rate(demand.rate, bound), now);
         }
-        let permits = state.bucket.take_up_to(want.waiting, now);
+        let permits = state.bucket.take_up_to(demand.waiting, now);
         let retry_after = state.bucket.time_until_available(now);
         let retry_after = retry_after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
         Grant {
--- a/crates/spurpier-core/src/shares/ledger.rs
+++ b/crates/spurpier-core/src/shares/ledger.rs
@@ -26,14 +26,14 @@
         /// The claimed epoch.
         epoch: u64,
         /// When the claim was sent.
-        asked_at: Timestamp,
+        sent_at: Timestamp,
     },
     /// The database's primary reported the epoch in force.
     EpochObserved {
         /// The epoch in force.
         epoch: u64,
         /// When the query was sent.
-        asked_at: Timestamp,
+        sent_at: Timestamp,
     },
     /// A report arrived.
     Received {
@@ -118,27 +118,27 @@
         self.remove_expired_holders(now);
         match event {
             LedgerEvent::Tick => {}
-            LedgerEvent::EpochClaimed { epoch, asked_at } => self.start_epoch(now, epoch, asked_at),
-            LedgerEvent::EpochObserved { epoch, asked_at } => self.check_epoch(epoch, asked_at),
+            LedgerEvent::EpochClaimed { epoch, sent_at } => self.start_epoch(now, epoch, sent_at),
+            LedgerEvent::EpochObserved { epoch, sent_at } => self.check_epoch(epoch, sent_at),
             LedgerEvent::Received { from, report } => self.handle_report(now, from, report),
         }
         std::mem::take(&mut self.actions)
     }
 
-    fn start_epoch(&mut self, now: Timestamp, epoch: u64, asked_at: Timestamp) {
+    fn start_epoch(&mut self, now: Timestamp, epoch: u64, sent_at: Timestamp) {
         if epoch <= self.epoch {
             return;
         }
         self.epoch = epoch;
-        self.valid_until = asked_at + self.config.ledger_lease;
+        self.valid_until = sent_at + self.config.ledger_lease;
         self.takeover_until = now + self.config.takeover_delay();
         self.taken_over = 0;
         self.holders.clear();
     }
 
-    fn check_epoch(&mut self, epoch: u64, asked_at: Timestamp) {
+    fn check_epoch(&mut self, epoch: u64, sent_at: Timestamp) {
         if epoch == self.epoch {
-            let valid_until = asked_at + self.config.ledger_lease;
+            let valid_until = sent_at + self.config.ledger_lease;
             self.valid_until = self.valid_until.max(valid_until);
         } else if epoch > self.epoch {
             self.valid_until = Timestamp::ZERO;
--- a/crates/spurpier-core/tests/shares_bound.rs
+++ b/crates/spurpier-core/tests/shares_bound.rs
@@ -136,7 +136,7 @@
             Step::ObserveEpoch(node) => {
                 let event = LedgerEvent::EpochObserved {
                     epoch: self.epoch,
-                    asked_at: self.now,
+                    sent_at: self.now,
                 };
                 self.drive_ledger(*node, event);
             }
@@ -229,7 +229,7 @@
         self.epoch += 1;
         let event = LedgerEvent::EpochClaimed {
             epoch: self.epoch,
-            asked_at: self.now,
+            sent_at: self.now,
         };
         self.drive_ledger(node, event);
     }
--- a/crates/spurpier-rehearsal/src/shares/simulation.rs
+++ b/crates/spurpier-rehearsal/src/shares/simulation.rs
@@ -393,14 +393,14 @@
         self.homes.iter().position(|home| home.serving)
     }
 
-    fn epoch_answered(&mut self, home: usize, asked_at: Timestamp, epoch: u64, claimed: bool) {
+    fn epoch_answered(&mut self, home: usize, sent_at: Timestamp, epoch: u64, claimed: bool) {
         let now = self.now;
         let Share::Ledger(share) = &mut self.homes[home].share else {
             return;
         };
         let event = match claimed {
-            true => LedgerEvent::EpochClaimed { epoch, asked_at },
-            false => LedgerEvent::EpochObserved { epoch, asked_at },
+            true => LedgerEvent::EpochClaimed { epoch, sent_at },
+            false => LedgerEvent::EpochObserved { epoch, sent_at },
         };
         let sent = share.drive_ledger(now, event);
         self.send_all(home, sent);
