--- a/crates/spurpier-core/src/membership/message.rs
+++ b/crates/spurpier-core/src/membership/message.rs
@@ -96,7 +96,8 @@
     Join(MemberUpdate),
     /// The whole view, in answer to [`MembershipMessage::Join`].
     FullView(List<MemberUpdate>),
-    /// Asks for the identities of these nodes; the receiver's own key may be among them.
+    /// Asks for the identities of these nodes, the receiver itself or members that it knows;
+    /// answered with [`MembershipMessage::Updates`].
     IdentityRequest(List<NodeKey>),
     /// The sender's digest of each bucket of the view, in order; asks for the states in the
     /// buckets that differ.
--- a/crates/spurpier-core/src/membership/suspicion.rs
+++ b/crates/spurpier-core/src/membership/suspicion.rs
@@ -64,8 +64,7 @@
         self.apply_state(now, target, suspected, None);
     }
 
-    /// Returns the bit length of the node count: the doublings from one node to the cluster's
-    /// size, rounded up.
+    /// Returns the bit length of the node count, which grows by one each time the cluster doubles.
     pub(super) fn cluster_doublings(&self) -> u32 {
         let nodes = self.table.len() + 1;
         usize::BITS - nodes.leading_zeros()
--- a/crates/spurpier-core/src/membership/sync.rs
+++ b/crates/spurpier-core/src/membership/sync.rs
@@ -45,8 +45,8 @@
 }
 
 impl Membership {
-    /// Starts a sync with the sender if the view of its zone has differed from this one for at
-    /// least the sync interval; sooner during quick syncs.
+    /// Starts a sync with the sender if its view differs from this one and no member of its zone
+    /// has had an equal view for the sync interval. Quick syncs skip that wait.
     pub(super) fn compare_views(&mut self, now: Timestamp, sender: NodeKey, view_digest: u64) {
         let equal = view_digest == self.view_digest();
         let Some(zone) = self.table.zone_of_mut(sender) else {
