--- a/crates/spurpier-pipeline/src/membership.rs
+++ b/crates/spurpier-pipeline/src/membership.rs
@@ -14,13 +14,13 @@
 
 use crate::context::Context;
 use crate::directory::{share_connections, share_connections_of};
-use crate::duty::{restore_succession, yield_by_store};
 use crate::era::transact_in_era;
 use crate::events;
 use crate::follow::RowSink;
 use crate::forward::LostNodes;
 use crate::node_entry::{ListedNode, NodeEntry};
 use crate::ports::{Condition, Row, Shard, Table, TransactOutcome, Transaction, Write};
+use crate::promotion::{report_release_by_store, restore_succession};
 
 /// How long one write of the own entry may take.
 const WRITE_LIMIT: Duration = Duration::from_secs(1);
@@ -341,7 +341,11 @@
         };
         let group = self.0.group(group);
         if self.0.take_succession(&group, &succession) {
-            tokio::spawn(yield_by_store(Arc::clone(&self.0), group, succession.token));
+            tokio::spawn(report_release_by_store(
+                Arc::clone(&self.0),
+                group,
+                succession.token,
+            ));
         }
     }
 }
--- a/crates/spurpier-pipeline/src/node.rs
+++ b/crates/spurpier-pipeline/src/node.rs
@@ -23,7 +23,6 @@
 use crate::directory::{
     Directory, ServerSink, close_unused, follow_named_groups, forget_gone, share_after_start,
 };
-use crate::duty::{Peers, follow_demand, watch_groups};
 use crate::events;
 use crate::follow::follow;
 use crate::forward::{self, Links, LostNodes};
@@ -36,6 +35,7 @@
 use crate::ports::{
     ClientDialect, EntryFormat, MetadataStore, PromotionService, ServerDialect, Table,
 };
+use crate::promotion::{Peers, report_demand_and_decide_moves, watch_groups};
 use crate::quota::{Quotas, start_seats};
 use crate::readiness;
 use crate::session::serve_client;
@@ -242,7 +242,10 @@
     let (sender, wanted) = mpsc::channel(WANTED_CAPACITY);
     let peers = Peers::new(Arc::clone(context), socket, sender);
     tokio::spawn(Arc::clone(&peers).receive());
-    tokio::spawn(follow_demand(Arc::clone(context), Arc::clone(&peers)));
+    tokio::spawn(report_demand_and_decide_moves(
+        Arc::clone(context),
+        Arc::clone(&peers),
+    ));
     tokio::spawn(watch_groups(Arc::clone(context), peers, wanted));
 }
 
--- a/crates/spurpier-pipeline/src/duty/demand.rs
+++ b/crates/spurpier-pipeline/src/promotion/demand.rs
@@ -9,8 +9,8 @@
 use spurpier_core::locality::RegionDemand;
 use spurpier_core::wire::{List, LongText};
 
-use super::messages::{PeerMessage, ToldDemand};
-use super::peers::{MAX_DATAGRAM, Peers};
+use super::messages::{DemandReport, PeerMessage};
+use super::peers::{MAX_DATAGRAM_BYTES, Peers};
 use crate::context::Context;
 use crate::group::Group;
 use crate::homes::Home;
@@ -19,19 +19,19 @@
 /// bounds are told of: one datagram each, and nothing where no region is named.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 /// How many homes are told in turn until one answers.
-const TOLD_HOMES: usize = 3;
+const MAX_CONTACTED_HOMES: usize = 3;
 
 /// Tells of demand and decides on moves; never returns.
-pub async fn follow_demand(context: Arc<Context>, peers: Arc<Peers>) {
+pub async fn report_demand_and_decide_moves(context: Arc<Context>, peers: Arc<Peers>) {
     loop {
         tokio::time::sleep(REPORT_INTERVAL).await;
         for (name, demand) in context.places.demand.take_counts() {
             let now = context.clock.now();
             context.places.demand.note(&name, &demand, now);
             let homes = deciding_homes(&context, &name);
-            let homes = homes.into_iter().take(TOLD_HOMES);
-            let addresses: Vec<Option<SocketAddr>> = homes.map(address).collect();
-            tokio::spawn(Arc::clone(&peers).tell_demand(name, demand, addresses));
+            let homes = homes.into_iter().take(MAX_CONTACTED_HOMES);
+            let addresses: Vec<Option<SocketAddr>> = homes.map(peer_address).collect();
+            tokio::spawn(Arc::clone(&peers).report_demand(name, demand, addresses));
         }
         for group in context.places.demand.groups() {
             if let Some(group) = context.known_group(&group) {
@@ -52,7 +52,7 @@
     ranked
 }
 
-fn address(home: Home) -> Option<SocketAddr> {
+fn peer_address(home: Home) -> Option<SocketAddr> {
     match home {
         Home::Own => None,
         Home::Peer(peer) => Some(peer.address),
@@ -64,11 +64,14 @@
     if deciding_homes(context, &group.name).first() != Some(&Home::Own) {
         return;
     }
-    let Some(lead) = group.lead() else {
+    let Some(leader) = group.lead() else {
         return;
     };
     let places = &context.places;
-    let Some(present) = places.region(&lead.listing().entry.zone).map(str::to_owned) else {
+    let Some(current_region) = places
+        .region(&leader.listing().entry.zone)
+        .map(str::to_owned)
+    else {
         return;
     };
     let now = context.clock.now();
@@ -84,12 +87,12 @@
     let candidates: BTreeSet<String> = regions.collect();
     places
         .demand
-        .decide(&group.name, &present, &candidates, now);
+        .decide(&group.name, &current_region, &candidates, now);
 }
 
 impl Peers {
     /// Takes in that another node wants a group's primary in a region, if the group is known.
-    pub(super) fn note_wish(&self, group: &str, region: String) {
+    pub(super) fn record_move_request(&self, group: &str, region: String) {
         let context = self.context();
         if context.known_group(group).is_some() {
             let now = context.clock.now();
@@ -98,12 +101,12 @@
     }
 
     /// Takes in demand that another node tells; false if this node does not know the group.
-    pub(super) fn take_demand(&self, group: &str, told: List<ToldDemand>) -> bool {
+    pub(super) fn record_demand(&self, group: &str, reports: List<DemandReport>) -> bool {
         let context = self.context();
         if context.known_group(group).is_none() {
             return false;
         }
-        let demand: Vec<RegionDemand> = told.0.into_iter().map(RegionDemand::from).collect();
+        let demand: Vec<RegionDemand> = reports.0.into_iter().map(RegionDemand::from).collect();
         let now = context.clock.now();
         context.places.demand.note(group, &demand, now);
         true
@@ -111,7 +114,7 @@
 
     /// Tells demand to the first of the homes that answers; one without an address is this node,
     /// which knows it.
-    async fn tell_demand(
+    async fn report_demand(
         self: Arc<Self>,
         group: String,
         demand: Vec<RegionDemand>,
@@ -121,8 +124,8 @@
             let Some(address) = address else {
                 return;
             };
-            let question = |number| demand_message(number, &group, &demand);
-            if !self.ask(question, &[address]).await.is_empty() {
+            let request = |request_id| demand_message(request_id, &group, &demand);
+            if !self.request(request, &[address]).await.is_empty() {
                 return;
             }
         }
@@ -130,36 +133,36 @@
 }
 
 /// The message that tells as much demand as a datagram holds; the greatest comes first.
-fn demand_message(number: u64, group: &str, demand: &[RegionDemand]) -> PeerMessage {
-    let mut told: Vec<ToldDemand> = demand.iter().map(ToldDemand::from).collect();
+fn demand_message(request_id: u64, group: &str, demand: &[RegionDemand]) -> PeerMessage {
+    let mut reports: Vec<DemandReport> = demand.iter().map(DemandReport::from).collect();
     loop {
         let message = PeerMessage::Demand {
-            number,
+            request_id,
             group: group.to_owned(),
-            demand: List(told.clone()),
+            demand: List(reports.clone()),
         };
-        if told.pop().is_none() || message.serialize_bin().len() <= MAX_DATAGRAM {
+        if reports.pop().is_none() || message.serialize_bin().len() <= MAX_DATAGRAM_BYTES {
             return message;
         }
     }
 }
 
-impl From<&RegionDemand> for ToldDemand {
+impl From<&RegionDemand> for DemandReport {
     fn from(demand: &RegionDemand) -> Self {
         let regions = demand.regions.iter().cloned();
-        ToldDemand {
+        DemandReport {
             regions: List(regions.map(LongText).collect()),
             units: demand.units,
         }
     }
 }
 
-impl From<ToldDemand> for RegionDemand {
-    fn from(told: ToldDemand) -> Self {
-        let regions = told.regions.0.into_iter();
+impl From<DemandReport> for RegionDemand {
+    fn from(report: DemandReport) -> Self {
+        let regions = report.regions.0.into_iter();
         RegionDemand {
             regions: regions.map(|name| name.0).collect(),
-            units: told.units,
+            units: report.units,
         }
     }
 }
--- a/crates/spurpier-pipeline/src/duty/evacuation.rs
+++ b/crates/spurpier-pipeline/src/promotion/evacuation.rs
@@ -8,20 +8,20 @@
 use spurpier_core::position::Position;
 use spurpier_events::log_event;
 
-use super::holder::KnownDuty;
-use super::successor::{SteppedDown, await_position, status_of};
-use super::watch::{Case, UNDECIDED_PAUSE};
+use super::lease::KnownPromotionLease;
+use super::successor::{StepDownOutcome, await_position, status_of};
+use super::watch::{PromotionTask, UNDECIDED_DELAY};
 use crate::events;
 use crate::ports::ServerRole;
 use crate::server::Server;
 
 /// How long an heir may take to receive what an evacuated primary has, before that one steps down.
 /// Replicas are 8 to 60 ms behind.
-const RECEIVING_LIMIT: Duration = Duration::from_millis(300);
+const EVACUATION_CATCH_UP_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long before its zone is closed an evacuated primary steps down although its heir receives
 /// nothing: what it has must be asked while it can be, so that the heir may lead once it has received
 /// that. Looks of a case are half a second apart, and stepping down takes a write to the store.
-const LAST_STEP_DOWN: Duration = Duration::from_millis(1_000);
+const FORCED_STEP_DOWN_MARGIN: Duration = Duration::from_millis(1_000);
 
 /// That a primary of an evacuated zone has stepped down.
 #[derive(Debug, Clone, Copy)]
@@ -30,7 +30,7 @@
     position: Position,
     /// The token of the decision under which this node made it step down, as long as no server has
     /// been ordered to lead since.
-    unordered: Option<u64>,
+    unpromoted_token: Option<u64>,
 }
 
 /// Whether a server is lost, as far as was seen while it could be asked.
@@ -38,7 +38,7 @@
     server.is_gone() || server.health().is_silent()
 }
 
-impl Case {
+impl PromotionTask {
     /// The server that this node would use as the lead.
     pub(super) fn candidate(&self) -> Option<Arc<Server>> {
         let context = &self.context;
@@ -47,11 +47,11 @@
     }
 
     /// Whether another server of the group may lead where it stands.
-    pub(super) fn has_heir(&self, lead: &Server) -> bool {
+    pub(super) fn has_eligible_successor(&self, leader: &Server) -> bool {
         let now = self.context.clock.now();
         let places = &self.context.places;
         let servers = self.group.servers().into_iter();
-        let mut others = servers.filter(|server| server.incarnation != lead.incarnation);
+        let mut others = servers.filter(|server| server.incarnation != leader.incarnation);
         others.any(|server| server.is_staying() && places.may_succeed(&server, now))
     }
 
@@ -67,22 +67,33 @@
 
     /// Whether an evacuated primary steps down now: its heir receives what it has, or it cannot be
     /// asked for much longer. Until then it serves.
-    pub(super) async fn may_step_down(&self, former: &Arc<Server>, heir: &Arc<Server>) -> bool {
+    pub(super) async fn may_step_down(
+        &self,
+        former: &Arc<Server>,
+        successor: &Arc<Server>,
+    ) -> bool {
         let context = &self.context;
         let Some(status) = status_of(context, former).await else {
             return false;
         };
-        if await_position(context, heir, status.received, RECEIVING_LIMIT).await {
+        if await_position(
+            context,
+            successor,
+            status.received,
+            EVACUATION_CATCH_UP_TIMEOUT,
+        )
+        .await
+        {
             return true;
         }
         let closes_in = former.pool.zone_gate().closes_in();
-        closes_in.is_some_and(|closes_in| closes_in <= LAST_STEP_DOWN)
+        closes_in.is_some_and(|closes_in| closes_in <= FORCED_STEP_DOWN_MARGIN)
     }
 
     /// Remembers what an evacuated primary had when it stepped down.
-    pub(super) fn note_stepped_down(
+    pub(super) fn record_step_down(
         &mut self,
-        stepped_down: SteppedDown,
+        stepped_down: StepDownOutcome,
         former: &Server,
         token: u64,
     ) {
@@ -90,37 +101,37 @@
             return;
         }
         self.step_down = match stepped_down {
-            SteppedDown::HeirHasAll(position) => Some(KnownStepDown {
+            StepDownOutcome::SuccessorCaughtUp(position) => Some(KnownStepDown {
                 position,
-                unordered: None,
+                unpromoted_token: None,
             }),
-            SteppedDown::HeirLacks(position) => Some(KnownStepDown {
+            StepDownOutcome::SuccessorBehind(position) => Some(KnownStepDown {
                 position,
-                unordered: Some(token),
+                unpromoted_token: Some(token),
             }),
-            SteppedDown::Unknown => self.step_down,
+            StepDownOutcome::Unknown => self.step_down,
         };
     }
 
     /// Whether no server leads the group, since this node made the primary step down and has ordered
     /// none to lead.
-    pub(super) fn has_no_lead(&self) -> bool {
-        let unordered = self.step_down.and_then(|known| known.unordered);
-        unordered == Some(self.group.token())
+    pub(super) fn has_no_leader(&self) -> bool {
+        let unpromoted_token = self.step_down.and_then(|known| known.unpromoted_token);
+        unpromoted_token == Some(self.group.token())
     }
 
     /// Whether that is so still, by the duty as it stands in the store: then nobody can use a lead
     /// that a new decision would have to wait for.
-    pub(super) fn has_decided_last(&self, duty: &KnownDuty) -> bool {
-        let unordered = self.step_down.and_then(|known| known.unordered);
-        let newest = duty.row.as_ref().map(|row| row.token);
-        unordered.is_some() && unordered == newest
+    pub(super) fn made_last_decision(&self, lease: &KnownPromotionLease) -> bool {
+        let unpromoted_token = self.step_down.and_then(|known| known.unpromoted_token);
+        let newest = lease.row.as_ref().map(|row| row.token);
+        unpromoted_token.is_some() && unpromoted_token == newest
     }
 
     /// Notes that a server may be ordered to lead from now on.
-    pub(super) fn note_decided_anew(&mut self) {
+    pub(super) fn record_new_decision(&mut self) {
         if let Some(known) = &mut self.step_down {
-            known.unordered = None;
+            known.unpromoted_token = None;
         }
     }
 
@@ -130,9 +141,9 @@
     pub(super) async fn may_lack_commits(&mut self, successor: &Arc<Server>) -> bool {
         let required = self.required_position(successor).await;
         let received = match &required {
-            Required::Nothing => return false,
-            Required::Unknown => None,
-            Required::Position(position) => {
+            RequiredPosition::Nothing => return false,
+            RequiredPosition::Unknown => None,
+            RequiredPosition::Position(position) => {
                 let status = status_of(&self.context, successor).await;
                 let received = status.map(|status| status.received);
                 if received.is_some_and(|received| received >= *position) {
@@ -152,15 +163,15 @@
                 suppressed = suppressed
             );
         }
-        tokio::time::sleep(UNDECIDED_PAUSE).await;
+        tokio::time::sleep(UNDECIDED_DELAY).await;
         true
     }
 
-    async fn required_position(&mut self, successor: &Server) -> Required {
+    async fn required_position(&mut self, successor: &Server) -> RequiredPosition {
         if let Some(known) = self.step_down {
-            return Required::Position(known.position);
+            return RequiredPosition::Position(known.position);
         }
-        let mut required = Required::Nothing;
+        let mut required = RequiredPosition::Nothing;
         for server in self.group.servers() {
             if server.incarnation == successor.incarnation || is_lost(&server) {
                 continue;
@@ -170,32 +181,34 @@
         required
     }
 
-    async fn required_by(&mut self, server: &Arc<Server>) -> Required {
+    async fn required_by(&mut self, server: &Arc<Server>) -> RequiredPosition {
         match server.pool.zone_gate().phase() {
-            ZonePhase::Open => Required::Nothing,
+            ZonePhase::Open => RequiredPosition::Nothing,
             ZonePhase::Evacuating => match status_of(&self.context, server).await {
                 Some(status) => {
                     if self.group.led_last(&server.incarnation) {
                         self.step_down = Some(KnownStepDown {
                             position: status.received,
-                            unordered: None,
+                            unpromoted_token: None,
                         });
                     }
-                    Required::Position(status.received)
+                    RequiredPosition::Position(status.received)
                 }
                 // It is as lost as a primary anywhere else.
-                None => Required::Nothing,
+                None => RequiredPosition::Nothing,
             },
-            ZonePhase::Closed if self.group.led_last(&server.incarnation) => Required::Unknown,
+            ZonePhase::Closed if self.group.led_last(&server.incarnation) => {
+                RequiredPosition::Unknown
+            }
             // A replica: what it holds the primary held too, which is lost.
-            ZonePhase::Closed => Required::Nothing,
+            ZonePhase::Closed => RequiredPosition::Nothing,
         }
     }
 }
 
 /// What a successor must have received.
 #[derive(Debug)]
-enum Required {
+enum RequiredPosition {
     /// Nothing that is held in an evacuated zone.
     Nothing,
     /// This position.
@@ -204,12 +217,18 @@
     Unknown,
 }
 
-impl Required {
-    fn and(self, other: Required) -> Required {
+impl RequiredPosition {
+    fn and(self, other: RequiredPosition) -> RequiredPosition {
         match (self, other) {
-            (Required::Nothing, required) | (required, Required::Nothing) => required,
-            (Required::Position(one), Required::Position(two)) => Required::Position(one.max(two)),
-            (Required::Unknown, _) | (_, Required::Unknown) => Required::Unknown,
+            (RequiredPosition::Nothing, required) | (required, RequiredPosition::Nothing) => {
+                required
+            }
+            (RequiredPosition::Position(one), RequiredPosition::Position(two)) => {
+                RequiredPosition::Position(one.max(two))
+            }
+            (RequiredPosition::Unknown, _) | (_, RequiredPosition::Unknown) => {
+                RequiredPosition::Unknown
+            }
         }
     }
 }
--- a/crates/spurpier-pipeline/src/duty/holder.rs
+++ b/crates/spurpier-pipeline/src/promotion/lease.rs
@@ -24,17 +24,17 @@
 use crate::server::Server;
 
 /// The key of the row of the duty's holder.
-const KEY: &str = "promotion";
+const HOLDER_KEY: &str = "promotion";
 /// What stands before the group and the node in the key of a node's yield.
-const YIELD_PREFIX: &str = "yield/";
+const RELEASE_PREFIX: &str = "yield/";
 /// Rows that one transaction removes; the store takes 100 entries at most.
-const REMOVED_AT_ONCE: usize = 50;
+const MAX_REMOVED_PER_TRANSACTION: usize = 50;
 /// How long one call may take.
-const CALL_LIMIT: Duration = Duration::from_millis(800);
+const STORE_CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// The holder's row as it was read.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct KnownDuty {
+pub struct KnownPromotionLease {
     /// The row; none if there is none.
     pub row: Option<PromotionLeaseRow>,
     /// Its version; number 0 of the store's era if there is none.
@@ -43,7 +43,7 @@
 
 /// A node that told the store that it has yielded.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct StoredYield {
+pub struct StoredRelease {
     /// The group.
     pub group: String,
     /// The node.
@@ -54,11 +54,11 @@
 
 /// What the store says of the duty.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct ReadDuty {
+pub struct PromotionLeaseState {
     /// The holder.
-    pub holder: KnownDuty,
+    pub lease: KnownPromotionLease,
     /// The nodes that have yielded by way of the store.
-    pub yields: Vec<StoredYield>,
+    pub releases: Vec<StoredRelease>,
 }
 
 /// A decision that stands in the store.
@@ -82,9 +82,9 @@
 }
 
 /// Reads the rows of the duty; none if the store does not answer.
-pub async fn read_duty(context: &Context) -> Option<ReadDuty> {
+pub async fn read_promotion_lease(context: &Context) -> Option<PromotionLeaseState> {
     let read = timeout(
-        CALL_LIMIT,
+        STORE_CALL_TIMEOUT,
         context.store.read(Table::Duty, &Progress::new()),
     )
     .await;
@@ -96,55 +96,55 @@
     if !context.note_store_era(read.version.era(), TOLD_BY_STORE) {
         return None;
     }
-    let holder = read.rows.iter().find(|row| row.key == KEY);
-    let holder = KnownDuty {
-        row: holder.and_then(|row| PromotionLeaseRow::deserialize_bin(&row.value).ok()),
-        version: holder.map_or(read.version.for_absent_row(), |row| row.version),
+    let row = read.rows.iter().find(|row| row.key == HOLDER_KEY);
+    let lease = KnownPromotionLease {
+        row: row.and_then(|row| PromotionLeaseRow::deserialize_bin(&row.value).ok()),
+        version: row.map_or(read.version.for_absent_row(), |row| row.version),
     };
-    if let Some(row) = &holder.row {
+    if let Some(row) = &lease.row {
         context.note_duty_holder(&row.holder);
     }
-    let yields = read.rows.iter().filter_map(stored_yield).collect();
-    Some(ReadDuty { holder, yields })
+    let releases = read.rows.iter().filter_map(stored_release).collect();
+    Some(PromotionLeaseState { lease, releases })
 }
 
-fn stored_yield(row: &Row) -> Option<StoredYield> {
-    let (group, node) = row.key.strip_prefix(YIELD_PREFIX)?.rsplit_once('/')?;
-    Some(StoredYield {
+fn stored_release(row: &Row) -> Option<StoredRelease> {
+    let (group, node) = row.key.strip_prefix(RELEASE_PREFIX)?.rsplit_once('/')?;
+    Some(StoredRelease {
         group: group.to_owned(),
         node: node.to_owned(),
         token: u64::deserialize_bin(&row.value).ok()?,
     })
 }
 
-fn yield_key(group: &str, node: &str) -> String {
-    format!("{YIELD_PREFIX}{group}/{node}")
+fn release_key(group: &str, node: &str) -> String {
+    format!("{RELEASE_PREFIX}{group}/{node}")
 }
 
 /// Tells the store that this node has yielded to a succession; false if the store does not answer.
-pub async fn store_yield(context: &Context, group: &Group, token: u64) -> bool {
-    let write = own_yield(context, group, token);
-    make(context, Vec::new(), vec![write]).await.is_some()
+pub async fn store_release(context: &Context, group: &Group, token: u64) -> bool {
+    let write = own_release(context, group, token);
+    commit(context, Vec::new(), vec![write]).await.is_some()
 }
 
-fn own_yield(context: &Context, group: &Group, token: u64) -> Write {
+fn own_release(context: &Context, group: &Group, token: u64) -> Write {
     Write::Put {
         table: Table::Duty,
-        key: yield_key(&group.name, &context.settings.node.name),
+        key: release_key(&group.name, &context.settings.node.name),
         value: Bytes::from(token.serialize_bin()),
     }
 }
 
 /// Removes the yields to a decision that is over.
-pub async fn remove_yields(context: &Context, yields: &[StoredYield]) {
-    let writes = yields.iter().map(|known| Write::Remove {
+pub async fn remove_releases(context: &Context, releases: &[StoredRelease]) {
+    let writes = releases.iter().map(|release| Write::Remove {
         table: Table::Duty,
-        key: yield_key(&known.group, &known.node),
+        key: release_key(&release.group, &release.node),
     });
     let writes: Vec<Write> = writes.collect();
-    for writes in writes.chunks(REMOVED_AT_ONCE) {
+    for writes in writes.chunks(MAX_REMOVED_PER_TRANSACTION) {
         // What is left is replaced when the node yields again.
-        make(context, Vec::new(), writes.to_vec()).await;
+        commit(context, Vec::new(), writes.to_vec()).await;
     }
 }
 
@@ -155,7 +155,7 @@
 /// without an answer may be carried out later.
 pub async fn store_decision(
     context: &Context,
-    known: &KnownDuty,
+    known: &KnownPromotionLease,
     group: &Group,
     successor: &Successor,
     deposed: Option<&Server>,
@@ -170,13 +170,13 @@
     };
     let condition = Condition {
         table: Table::Duty,
-        key: KEY.to_owned(),
+        key: HOLDER_KEY.to_owned(),
         version: known.version,
     };
     let writes = vec![
         Write::Put {
             table: Table::Duty,
-            key: KEY.to_owned(),
+            key: HOLDER_KEY.to_owned(),
             value: Bytes::from(next.serialize_bin()),
         },
         Write::Put {
@@ -186,7 +186,7 @@
         },
     ];
     let sent_at = context.clock.now();
-    let Some(version) = make(context, vec![condition], writes).await else {
+    let Some(version) = commit(context, vec![condition], writes).await else {
         log_event!(events::DUTY_REFUSED, token = next.token);
         return None;
     };
@@ -202,7 +202,7 @@
 
 /// Notes in the store that the successor of a decision was ordered to lead, so that nobody waits for
 /// what the deposed primary holds any more. If that fails, a later decision may wait needlessly.
-pub async fn note_ordered(context: &Context, group: &Group, decision: &Decision) {
+pub async fn record_promotion(context: &Context, group: &Group, decision: &Decision) {
     let key = succession_key(&group.name);
     let condition = Condition {
         table: Table::Cluster,
@@ -218,7 +218,7 @@
         key,
         value: Bytes::from(succession.serialize_bin()),
     };
-    make(context, vec![condition], vec![write]).await;
+    commit(context, vec![condition], vec![write]).await;
 }
 
 /// Stores a succession again that the store has lost, in the place of the row of a version. Another
@@ -243,7 +243,7 @@
         key,
         value: Bytes::from(succession.serialize_bin()),
     };
-    let version = make(&context, vec![condition], vec![write]).await;
+    let version = commit(&context, vec![condition], vec![write]).await;
     if let Some(version) = version {
         log_event!(
             events::SUCCESSION_RESTORED,
@@ -266,7 +266,7 @@
         key: succession_key(&group.name),
         version: decision.version,
     };
-    let writes = vec![own_yield(context, group, decision.succession.token)];
+    let writes = vec![own_release(context, group, decision.succession.token)];
     match transact(context, vec![condition], writes).await? {
         TransactOutcome::Made(_) => Some(true),
         TransactOutcome::Conflict(_) => Some(false),
@@ -274,7 +274,7 @@
 }
 
 /// Makes a transaction; its version, or none if it was not made or the store does not tell.
-async fn make(
+async fn commit(
     context: &Context,
     conditions: Vec<Condition>,
     writes: Vec<Write>,
@@ -296,5 +296,5 @@
         shard: Shard::Duty,
     };
     let call = transact_in_era(context, transaction);
-    timeout(CALL_LIMIT, call).await.ok()?.ok()
+    timeout(STORE_CALL_TIMEOUT, call).await.ok()?.ok()
 }
--- a/crates/spurpier-pipeline/src/duty/messages.rs
+++ b/crates/spurpier-pipeline/src/promotion/messages.rs
@@ -9,32 +9,32 @@
 use spurpier_core::wire::{List, LongText, decode_text, encode_text};
 
 /// Says that no proof of lead is known.
-const NEVER: u32 = u32::MAX;
+const UNKNOWN_AGE: u32 = u32::MAX;
 
 /// A message from one node to another.
 #[derive(Debug, Clone, PartialEq, Eq, SerBin, DeBin)]
 pub enum PeerMessage {
     /// Asks what the receiver sees of a group's primary.
-    AskSight {
+    AskPrimaryObservation {
         /// The question's number at the sender.
-        number: u64,
+        request_id: u64,
         /// The group.
         group: String,
     },
-    /// Answers `AskSight`.
-    Sight {
+    /// Answers `AskPrimaryObservation`.
+    PrimaryObservation {
         /// The question's number.
-        number: u64,
+        request_id: u64,
         /// How long ago the message left that proved the lead last, in milliseconds; the
         /// greatest number if none is known.
-        proven_ago_ms: u32,
+        proof_age_ms: u32,
         /// The position that it showed.
         position: Position,
     },
     /// Tells the holder of the duty that a group needs a decision.
-    Wanted {
+    AskDecision {
         /// The question's number at the sender.
-        number: u64,
+        request_id: u64,
         /// The group.
         group: String,
         /// The region that its primary is to move to; none if it is to be replaced for another
@@ -42,9 +42,9 @@
         region: Option<String>,
     },
     /// Asks the receiver to use no other server than the successor as a group's lead.
-    AskYield {
+    AskLeaseRelease {
         /// The question's number.
-        number: u64,
+        request_id: u64,
         /// The group.
         group: String,
         /// The succession.
@@ -54,36 +54,36 @@
         /// What else is told of the successor.
         details: SuccessorDetails,
     },
-    /// Answers `AskYield`.
-    Yielded {
+    /// Answers `AskLeaseRelease`.
+    LeaseReleased {
         /// The question's number.
-        number: u64,
+        request_id: u64,
         /// The token of the newest succession that the sender of the answer has yielded to.
         token: u64,
     },
     /// Asks whether the receiver runs and can be reached.
-    AskPresence {
+    Ping {
         /// The question's number.
-        number: u64,
+        request_id: u64,
     },
-    /// Answers `AskPresence`.
-    Present {
+    /// Answers `Ping`.
+    Pong {
         /// The question's number.
-        number: u64,
+        request_id: u64,
     },
-    /// Answers `Wanted`: the receiver of it holds the duty and sees to the group; and `Demand`.
-    Heard {
+    /// Answers `AskDecision`: the receiver of it holds the duty and sees to the group; and `Demand`.
+    Acknowledged {
         /// The question's number.
-        number: u64,
+        request_id: u64,
     },
     /// Tells a home what the sender's clients have asked of a group's primary.
     Demand {
         /// The question's number at the sender.
-        number: u64,
+        request_id: u64,
         /// The group.
         group: String,
         /// What was asked for since the sender told last.
-        demand: List<ToldDemand>,
+        demand: List<DemandReport>,
     },
 }
 
@@ -125,7 +125,7 @@
 
 /// Units that may run only in some regions.
 #[derive(Debug, Clone, PartialEq, Eq, SerBin, DeBin)]
-pub struct ToldDemand {
+pub struct DemandReport {
     /// The regions.
     pub regions: List<LongText>,
     /// How many units were asked for.
@@ -133,13 +133,13 @@
 }
 
 /// A time as a message carries it.
-pub fn encode_ago(ago: Option<Duration>) -> u32 {
-    ago.map_or(NEVER, |ago| {
-        u32::try_from(ago.as_millis()).unwrap_or(NEVER - 1)
+pub fn encode_age(age: Option<Duration>) -> u32 {
+    age.map_or(UNKNOWN_AGE, |age| {
+        u32::try_from(age.as_millis()).unwrap_or(UNKNOWN_AGE - 1)
     })
 }
 
 /// The time that a message carries.
-pub fn decode_ago(millis: u32) -> Option<Duration> {
-    (millis != NEVER).then(|| Duration::from_millis(u64::from(millis)))
+pub fn decode_age(millis: u32) -> Option<Duration> {
+    (millis != UNKNOWN_AGE).then(|| Duration::from_millis(u64::from(millis)))
 }
--- a/crates/spurpier-pipeline/src/duty/mod.rs
+++ b/crates/spurpier-pipeline/src/promotion/mod.rs
@@ -4,15 +4,15 @@
 mod demand;
 mod evacuation;
 mod hand_over;
-mod holder;
+mod lease;
 mod messages;
 mod peers;
 mod round;
 mod successor;
 mod watch;
 
-pub use self::demand::follow_demand;
-pub use self::holder::restore_succession;
+pub use self::demand::report_demand_and_decide_moves;
+pub use self::lease::restore_succession;
 pub use self::peers::Peers;
-pub use self::round::yield_by_store;
+pub use self::round::report_release_by_store;
 pub use self::watch::watch_groups;
--- a/crates/spurpier-pipeline/src/duty/peers.rs
+++ b/crates/spurpier-pipeline/src/promotion/peers.rs
@@ -13,24 +13,24 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout_at};
 
-use super::messages::{NamedSuccession, PeerMessage, decode_ago, encode_ago};
-use super::round::yield_to;
+use super::messages::{NamedSuccession, PeerMessage, decode_age, encode_age};
+use super::round::accept_succession;
 use crate::context::Context;
 use crate::group::Group;
 use crate::unit::renew_proof;
 
 /// The greatest datagram that is taken, in bytes.
-pub(super) const MAX_DATAGRAM: usize = 1_200;
+pub(super) const MAX_DATAGRAM_BYTES: usize = 1_200;
 /// A proof younger than this is told without asking the lead again.
-const FRESH_PROOF: Duration = Duration::from_millis(250);
+const MAX_FRESH_PROOF_AGE: Duration = Duration::from_millis(250);
 /// How long a node that is asked may ask the lead.
-const PROVING_LIMIT: Duration = Duration::from_millis(300);
+const PROOF_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long answers are awaited.
-const ANSWER_LIMIT: Duration = Duration::from_millis(420);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(420);
 /// How often a question is sent within that time: datagrams are lost now and then.
-const ASK_AGAIN: Duration = Duration::from_millis(140);
+const RESEND_INTERVAL: Duration = Duration::from_millis(140);
 /// How long connecting to a node that does not answer may take.
-const CONNECT_LIMIT: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Answers of one question that may wait to be read.
 const ANSWER_CAPACITY: usize = 1_024;
 
@@ -40,10 +40,10 @@
 pub struct Peers {
     context: Arc<Context>,
     socket: UdpSocket,
-    next_number: AtomicU64,
-    awaited: Mutex<HashMap<u64, mpsc::Sender<(SocketAddr, PeerMessage)>>>,
+    next_request_id: AtomicU64,
+    pending: Mutex<HashMap<u64, mpsc::Sender<(SocketAddr, PeerMessage)>>>,
     /// Groups that other nodes want this node to see to.
-    wanted: mpsc::Sender<String>,
+    requested_groups: mpsc::Sender<String>,
 }
 
 impl Peers {
@@ -51,14 +51,14 @@
     pub fn new(
         context: Arc<Context>,
         socket: UdpSocket,
-        wanted: mpsc::Sender<String>,
+        requested_groups: mpsc::Sender<String>,
     ) -> Arc<Self> {
         Arc::new(Peers {
             context,
             socket,
-            next_number: AtomicU64::new(1),
-            awaited: Mutex::default(),
-            wanted,
+            next_request_id: AtomicU64::new(1),
+            pending: Mutex::default(),
+            requested_groups,
         })
     }
 
@@ -69,7 +69,7 @@
 
     /// Takes messages; never returns.
     pub async fn receive(self: Arc<Self>) {
-        let mut buffer = vec![0; MAX_DATAGRAM];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             let Ok((length, from)) = self.socket.recv_from(&mut buffer).await else {
                 // The socket tells that an earlier datagram could not be delivered.
@@ -77,30 +77,31 @@
                 continue;
             };
             if let Ok(message) = PeerMessage::deserialize_bin(&buffer[..length]) {
-                self.take(message, from).await;
+                self.handle(message, from).await;
             }
         }
     }
 
-    async fn take(self: &Arc<Self>, message: PeerMessage, from: SocketAddr) {
+    async fn handle(self: &Arc<Self>, message: PeerMessage, from: SocketAddr) {
         match message {
-            PeerMessage::AskSight { number, group } => {
-                tokio::spawn(Arc::clone(self).answer_sight(number, group, from));
+            PeerMessage::AskPrimaryObservation { request_id, group } => {
+                tokio::spawn(Arc::clone(self).answer_primary_observation(request_id, group, from));
             }
-            PeerMessage::Wanted {
-                number,
+            PeerMessage::AskDecision {
+                request_id,
                 group,
                 region,
             } => {
                 if let Some(region) = region {
-                    self.note_wish(&group, region);
+                    self.record_move_request(&group, region);
                 }
-                if self.context.can_hold_duty() && self.wanted.try_send(group).is_ok() {
-                    self.send(&PeerMessage::Heard { number }, from).await;
+                if self.context.can_hold_duty() && self.requested_groups.try_send(group).is_ok() {
+                    self.send(&PeerMessage::Acknowledged { request_id }, from)
+                        .await;
                 }
             }
-            PeerMessage::AskYield {
-                number,
+            PeerMessage::AskLeaseRelease {
+                request_id,
                 group,
                 succession,
                 version,
@@ -109,30 +110,31 @@
                 let NamedSuccession { token, successor } = succession;
                 let succession = Succession::from_parts(token, &successor, details);
                 let group = self.context.group(&group);
-                if yield_to(&self.context, &group, &succession, version) {
+                if accept_succession(&self.context, &group, &succession, version) {
                     let token = group.token();
-                    self.send(&PeerMessage::Yielded { number, token }, from)
+                    self.send(&PeerMessage::LeaseReleased { request_id, token }, from)
                         .await;
                 }
             }
             PeerMessage::Demand {
-                number,
+                request_id,
                 group,
                 demand,
             } => {
-                if self.take_demand(&group, demand) {
-                    self.send(&PeerMessage::Heard { number }, from).await;
+                if self.record_demand(&group, demand) {
+                    self.send(&PeerMessage::Acknowledged { request_id }, from)
+                        .await;
                 }
             }
-            PeerMessage::AskPresence { number } => {
-                self.send(&PeerMessage::Present { number }, from).await;
+            PeerMessage::Ping { request_id } => {
+                self.send(&PeerMessage::Pong { request_id }, from).await;
             }
-            PeerMessage::Sight { number, .. }
-            | PeerMessage::Heard { number }
-            | PeerMessage::Yielded { number, .. }
-            | PeerMessage::Present { number } => {
-                let awaited = self.awaited.lock().unwrap_or_else(PoisonError::into_inner);
-                if let Some(sender) = awaited.get(&number) {
+            PeerMessage::PrimaryObservation { request_id, .. }
+            | PeerMessage::Acknowledged { request_id }
+            | PeerMessage::LeaseReleased { request_id, .. }
+            | PeerMessage::Pong { request_id } => {
+                let pending = self.pending.lock().unwrap_or_else(PoisonError::into_inner);
+                if let Some(sender) = pending.get(&request_id) {
                     // An answer beyond the capacity is a repeated one.
                     let _ = sender.try_send((from, message));
                 }
@@ -140,20 +142,25 @@
         }
     }
 
-    async fn answer_sight(self: Arc<Self>, number: u64, group: String, from: SocketAddr) {
+    async fn answer_primary_observation(
+        self: Arc<Self>,
+        request_id: u64,
+        group: String,
+        from: SocketAddr,
+    ) {
         let group = self.context.group(&group);
         let clock = &self.context.clock;
         let asked_at = clock.now();
-        let fresh_since = asked_at.saturating_sub(FRESH_PROOF);
-        let until = asked_at + PROVING_LIMIT;
+        let fresh_since = asked_at.saturating_sub(MAX_FRESH_PROOF_AGE);
+        let until = asked_at + PROOF_TIMEOUT;
         // Without a proof the older one is told.
         let _ = renew_proof(&self.context, &group, fresh_since, until).await;
         let now = clock.now();
         let proof = group.own_proof();
-        let proven_ago = proof.map(|proof| now.since(proof.sent_at));
-        let answer = PeerMessage::Sight {
-            number,
-            proven_ago_ms: encode_ago(proven_ago),
+        let proof_age = proof.map(|proof| now.since(proof.sent_at));
+        let answer = PeerMessage::PrimaryObservation {
+            request_id,
+            proof_age_ms: encode_age(proof_age),
             position: proof.map_or(Position::ZERO, |proof| proof.position),
         };
         self.send(&answer, from).await;
@@ -168,71 +175,76 @@
     ///
     /// Their proofs are taken in: what proved the lead to one node holds for all. A home that sees
     /// the primary becomes this node's way to it.
-    pub async fn sights(&self, group: &Group) -> (Vec<PrimaryObservation>, usize) {
+    pub async fn primary_observations(&self, group: &Group) -> (Vec<PrimaryObservation>, usize) {
         let homes = &self.context.homes_of(&group.name).others;
         let addresses: Vec<SocketAddr> = homes.iter().map(|home| home.address).collect();
-        let question = |number| PeerMessage::AskSight {
-            number,
+        let request = |request_id| PeerMessage::AskPrimaryObservation {
+            request_id,
             group: group.name.clone(),
         };
         let asked_at = self.context.clock.now();
-        let answers = self.ask(question, &addresses).await;
-        let mut sights = Vec::new();
+        let answers = self.request(request, &addresses).await;
+        let mut primary_observations = Vec::new();
         let mut relay = None;
         for home in homes {
-            let Some(PeerMessage::Sight {
-                proven_ago_ms,
+            let Some(PeerMessage::PrimaryObservation {
+                proof_age_ms,
                 position,
                 ..
             }) = answers.get(&home.address)
             else {
                 continue;
             };
-            let last_proof_age = decode_ago(*proven_ago_ms);
+            let last_proof_age = decode_age(*proof_age_ms);
             let observation = PrimaryObservation { last_proof_age };
-            if let Some(ago) = last_proof_age {
+            if let Some(age) = last_proof_age {
                 // The answer was given after the question was sent.
-                group.note_told_proof(asked_at.saturating_sub(ago), *position);
+                group.note_told_proof(asked_at.saturating_sub(age), *position);
             }
             if relay.is_none() && observation.observes_primary() {
                 relay = Some(home.clone());
             }
-            sights.push(observation);
+            primary_observations.push(observation);
         }
         if let Some(relay) = relay {
             group.set_relay(relay, self.context.clock.now());
         }
-        (sights, addresses.len())
+        (primary_observations, addresses.len())
     }
 
     /// Whether the holder of the duty answers that it sees to a group, whose primary is to move to
     /// a region if one is given.
-    pub async fn tell_holder(&self, holder: &str, group: &str, region: Option<String>) -> bool {
+    pub async fn ask_for_decision(
+        &self,
+        holder: &str,
+        group: &str,
+        region: Option<String>,
+    ) -> bool {
         let address = self.context.homes.address(holder);
-        let question = |number| PeerMessage::Wanted {
-            number,
+        let request = |request_id| PeerMessage::AskDecision {
+            request_id,
             group: group.to_owned(),
             region,
         };
         match address {
-            Some(address) => !self.ask(question, &[address]).await.is_empty(),
+            Some(address) => !self.request(request, &[address]).await.is_empty(),
             None => false,
         }
     }
 
     /// Whether all other nodes answer that may hold the lease of a group's primary. Those that do not are tried on, and taken
     /// off the list in the end.
-    pub async fn reaches_all(&self, group: &Group) -> bool {
+    pub async fn reaches_all_lease_holders(&self, group: &Group) -> bool {
         let clock = &self.context.clock;
-        let users = self.context.homes.lease_holders(&group.name, clock.now());
-        let addresses: Vec<SocketAddr> = users.iter().map(|user| user.address).collect();
-        let question = |number| PeerMessage::AskPresence { number };
-        let answers = self.ask(question, &addresses).await;
+        let holders = self.context.homes.lease_holders(&group.name, clock.now());
+        let addresses: Vec<SocketAddr> = holders.iter().map(|holder| holder.address).collect();
+        let request = |request_id| PeerMessage::Ping { request_id };
+        let answers = self.request(request, &addresses).await;
         for address in &addresses {
             if !answers.contains_key(address) {
                 let (context, address) = (Arc::clone(&self.context), *address);
                 tokio::spawn(async move {
-                    let until = context.clock.now() + CONNECT_LIMIT;
+                    let until = context.clock.now() + CONNECT_TIMEOUT;
                     context.links.link(address, &context.clock, until).await;
                 });
             }
@@ -241,24 +253,24 @@
     }
 
     /// Sends a question until all have answered or the time is over.
-    pub async fn ask(
+    pub async fn request(
         &self,
-        question: impl FnOnce(u64) -> PeerMessage,
+        request: impl FnOnce(u64) -> PeerMessage,
         addresses: &[SocketAddr],
     ) -> HashMap<SocketAddr, PeerMessage> {
-        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
-        let question = question(number);
+        let request_id = self.next_request_id.fetch_add(1, Ordering::Relaxed);
+        let request = request(request_id);
         let (sender, mut receiver) = mpsc::channel(ANSWER_CAPACITY);
-        let _awaited = Awaited::new(self, number, sender);
+        let _pending = PendingRequest::new(self, request_id, sender);
         let mut answers = HashMap::new();
-        let end = Instant::now() + ANSWER_LIMIT;
+        let end = Instant::now() + ANSWER_TIMEOUT;
         while answers.len() < addresses.len() && Instant::now() < end {
             for address in addresses {
                 if !answers.contains_key(address) {
-                    self.send(&question, *address).await;
+                    self.send(&request, *address).await;
                 }
             }
-            let round_end = end.min(Instant::now() + ASK_AGAIN);
+            let round_end = end.min(Instant::now() + RESEND_INTERVAL);
             collect(&mut receiver, &mut answers, addresses.len(), round_end).await;
         }
         answers
@@ -268,10 +280,10 @@
 async fn collect(
     receiver: &mut Answers,
     answers: &mut HashMap<SocketAddr, PeerMessage>,
-    wanted: usize,
+    expected: usize,
     end: Instant,
 ) {
-    while answers.len() < wanted {
+    while answers.len() < expected {
         match timeout_at(end, receiver.recv()).await {
             Ok(Some((from, answer))) => {
                 answers.insert(from, answer);
@@ -282,24 +294,28 @@
 }
 
 /// A question whose answers are awaited; forgotten when dropped.
-struct Awaited<'a> {
+struct PendingRequest<'a> {
     peers: &'a Peers,
-    number: u64,
+    request_id: u64,
 }
 
-impl<'a> Awaited<'a> {
-    fn new(peers: &'a Peers, number: u64, sender: mpsc::Sender<(SocketAddr, PeerMessage)>) -> Self {
-        let awaited = &peers.awaited;
-        let mut awaited = awaited.lock().unwrap_or_else(PoisonError::into_inner);
-        awaited.insert(number, sender);
-        Awaited { peers, number }
+impl<'a> PendingRequest<'a> {
+    fn new(
+        peers: &'a Peers,
+        request_id: u64,
+        sender: mpsc::Sender<(SocketAddr, PeerMessage)>,
+    ) -> Self {
+        let pending = &peers.pending;
+        let mut pending = pending.lock().unwrap_or_else(PoisonError::into_inner);
+        pending.insert(request_id, sender);
+        PendingRequest { peers, request_id }
     }
 }
 
-impl Drop for Awaited<'_> {
+impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
-        let awaited = &self.peers.awaited;
-        let mut awaited = awaited.lock().unwrap_or_else(PoisonError::into_inner);
-        awaited.remove(&self.number);
+        let pending = &self.peers.pending;
+        let mut pending = pending.lock().unwrap_or_else(PoisonError::into_inner);
+        pending.remove(&self.request_id);
     }
 }
--- a/crates/spurpier-pipeline/src/duty/round.rs
+++ b/crates/spurpier-pipeline/src/promotion/round.rs
@@ -11,8 +11,8 @@
 use spurpier_core::store_version::StoreVersion;
 use spurpier_events::log_event;
 
-use super::holder::{
-    Decision, StoredYield, confirm_decision, read_duty, remove_yields, store_yield,
+use super::lease::{
+    Decision, StoredRelease, confirm_decision, read_promotion_lease, remove_releases, store_release,
 };
 use super::messages::{NamedSuccession, PeerMessage};
 use super::peers::Peers;
@@ -24,22 +24,22 @@
 use crate::ports::{Row, Table};
 
 /// How often the store is asked whether a decision is the newest before it is given up.
-const VERIFICATIONS: usize = 3;
+const MAX_VERIFICATION_ATTEMPTS: usize = 3;
 /// How long the deciding node may take to ask this one before it tells the store by itself.
-const ASKED_WITHIN: Duration = Duration::from_millis(250);
+const STORE_RELEASE_DELAY: Duration = Duration::from_millis(250);
 /// How often this node tells the store that it has yielded, until the store answers.
-const STORED_YIELDS: usize = 8;
+const MAX_STORE_RELEASE_ATTEMPTS: usize = 8;
 /// How long this node may take to be told the list of nodes as of its decision.
-const LIST_LIMIT: Duration = Duration::from_secs(3);
+const NODE_LIST_TIMEOUT: Duration = Duration::from_secs(3);
 /// How often it is looked whether it has been told.
-const LIST_PAUSE: Duration = Duration::from_millis(10);
+const NODE_LIST_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// The pause after a look at the store that told nothing new.
-const LOOK_PAUSE: Duration = Duration::from_millis(100);
+const STORE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// For how long nodes are awaited before their names are logged.
-const LOGGED_AFTER: Duration = Duration::from_millis(600);
+const PENDING_LOG_DELAY: Duration = Duration::from_millis(600);
 
 /// A decision whose successor may be ordered to lead once all have yielded.
-pub struct Round<'a> {
+pub struct ReleaseRound<'a> {
     context: &'a Context,
     peers: &'a Peers,
     group: &'a Group,
@@ -47,12 +47,12 @@
     round: LeaseReleaseRound,
     holders: Vec<PeerNode>,
     /// Whether the holders are all that were listed when the decision was stored, or do not matter.
-    is_complete: bool,
-    stored: Vec<StoredYield>,
-    has_logged: bool,
+    holders_complete: bool,
+    stored_releases: Vec<StoredRelease>,
+    has_logged_pending: bool,
 }
 
-impl<'a> Round<'a> {
+impl<'a> ReleaseRound<'a> {
     /// The round of a decision that has just been stored.
     ///
     /// A node that is listed later than the decision was stored reads it before it uses a lead.
@@ -69,28 +69,28 @@
             decision.stored_at,
             holders.iter().map(|holder| holder.name.clone()),
         );
-        Round {
+        ReleaseRound {
             context,
             peers,
             group,
             decision,
             round,
             holders,
-            is_complete: false,
-            stored: Vec::new(),
-            has_logged: false,
+            holders_complete: false,
+            stored_releases: Vec::new(),
+            has_logged_pending: false,
         }
     }
 
     /// Takes in that the former primary has stepped down: nobody can use it any more.
-    pub fn note_stepped_down(&mut self) {
+    pub fn record_step_down(&mut self) {
         self.round.clear_pending();
-        self.is_complete = true;
+        self.holders_complete = true;
     }
 
     /// Waits until the successor may be ordered to lead; the order must leave at once. None if a
     /// newer decision is known, if the store may have lost this one, or if it does not tell.
-    pub async fn await_order(&mut self) -> Option<OrderUnderWay<'a>> {
+    pub async fn wait_until_promotable(&mut self) -> Option<OrderUnderWay<'a>> {
         loop {
             if self.context.era() != self.decision.version.era() {
                 return None;
@@ -98,13 +98,13 @@
             let now = self.context.clock.now();
             match self.round.state(self.group.token(), now) {
                 RoundState::Superseded => return None,
-                RoundState::Promote if !self.is_complete => self.complete_holders().await?,
+                RoundState::Promote if !self.holders_complete => self.complete_holders().await?,
                 RoundState::Promote => return Some(self.group.start_ordering()),
                 RoundState::Verify => self.verify().await?,
                 RoundState::Wait => {
-                    self.ask_awaited().await;
-                    self.log_awaited();
-                    self.look_at_store().await;
+                    self.request_releases().await;
+                    self.log_pending();
+                    self.record_stored_releases().await;
                 }
             }
         }
@@ -114,12 +114,12 @@
     /// who is new on it; none if that takes long.
     async fn complete_holders(&mut self) -> Option<()> {
         let context = self.context;
-        let limit = self.decision.stored_at + LIST_LIMIT;
+        let limit = self.decision.stored_at + NODE_LIST_TIMEOUT;
         while context.known_tables.version(Table::Cluster) < self.decision.version {
             if context.clock.now() >= limit {
                 return None;
             }
-            tokio::time::sleep(LIST_PAUSE).await;
+            tokio::time::sleep(NODE_LIST_POLL_INTERVAL).await;
         }
         for holder in lease_holders(context, self.group) {
             let is_known = self.holders.iter().any(|known| known.name == holder.name);
@@ -128,74 +128,75 @@
                 self.holders.push(holder);
             }
         }
-        self.is_complete = true;
+        self.holders_complete = true;
         Some(())
     }
 
     /// Forgets what nodes have told the store for this round.
-    pub async fn clean_up(&self) {
-        remove_yields(self.context, &self.stored).await;
+    pub async fn remove_stored_releases(&self) {
+        remove_releases(self.context, &self.stored_releases).await;
     }
 
-    async fn ask_awaited(&mut self) {
-        let awaited = self.holders.iter();
-        let awaited = awaited.filter(|holder| self.round.is_pending(&holder.name));
-        let names: HashMap<SocketAddr, String> = awaited
+    async fn request_releases(&mut self) {
+        let pending = self.holders.iter();
+        let pending = pending.filter(|holder| self.round.is_pending(&holder.name));
+        let names: HashMap<SocketAddr, String> = pending
             .map(|holder| (holder.address, holder.name.clone()))
             .collect();
         let addresses: Vec<SocketAddr> = names.keys().copied().collect();
-        let question = |number| PeerMessage::AskYield {
-            number,
+        let request = |request_id| PeerMessage::AskLeaseRelease {
+            request_id,
             group: self.group.name.clone(),
             succession: NamedSuccession::of(&self.decision.succession),
             version: self.decision.version,
             details: self.decision.succession.details(),
         };
-        let answers = self.peers.ask(question, &addresses).await;
+        let answers = self.peers.request(request, &addresses).await;
         for (address, answer) in answers {
-            if let (Some(name), PeerMessage::Yielded { token, .. }) = (names.get(&address), answer)
+            if let (Some(name), PeerMessage::LeaseReleased { token, .. }) =
+                (names.get(&address), answer)
             {
                 self.round.record_release(name, token);
             }
         }
     }
 
-    fn log_awaited(&mut self) {
+    fn log_pending(&mut self) {
         let now = self.context.clock.now();
-        let awaited = self.holders.iter();
-        let awaited = awaited.filter(|holder| self.round.is_pending(&holder.name));
-        let awaited: Vec<&str> = awaited.map(|holder| holder.name.as_str()).collect();
-        let is_long = now.since(self.decision.stored_at) >= LOGGED_AFTER;
-        if self.has_logged || awaited.is_empty() || !is_long {
+        let pending = self.holders.iter();
+        let pending = pending.filter(|holder| self.round.is_pending(&holder.name));
+        let pending: Vec<&str> = pending.map(|holder| holder.name.as_str()).collect();
+        let is_long = now.since(self.decision.stored_at) >= PENDING_LOG_DELAY;
+        if self.has_logged_pending || pending.is_empty() || !is_long {
             return;
         }
-        self.has_logged = true;
+        self.has_logged_pending = true;
         log_event!(
             events::NODES_AWAITED,
             group = self.group.name,
             token = self.round.token(),
-            nodes = awaited.join(" ")
+            nodes = pending.join(" ")
         );
     }
 
     /// Takes in which nodes have told the store that they have yielded.
-    async fn look_at_store(&mut self) {
-        if let Some(duty) = read_duty(self.context).await {
-            let yields = duty.yields.into_iter();
-            self.stored = yields
-                .filter(|known| known.group == self.group.name)
+    async fn record_stored_releases(&mut self) {
+        if let Some(state) = read_promotion_lease(self.context).await {
+            let releases = state.releases.into_iter();
+            self.stored_releases = releases
+                .filter(|release| release.group == self.group.name)
                 .collect();
-            for known in &self.stored {
-                self.round.record_release(&known.node, known.token);
+            for release in &self.stored_releases {
+                self.round.record_release(&release.node, release.token);
             }
         }
-        tokio::time::sleep(LOOK_PAUSE).await;
+        tokio::time::sleep(STORE_POLL_INTERVAL).await;
     }
 
     /// Asks the store whether the decision is still the group's newest; none if it is not, or if
     /// the store does not tell for long.
     async fn verify(&mut self) -> Option<()> {
-        for _ in 0..VERIFICATIONS {
+        for _ in 0..MAX_VERIFICATION_ATTEMPTS {
             let asked_at = self.context.clock.now();
             match confirm_decision(self.context, self.group, self.decision).await {
                 Some(true) => {
@@ -203,7 +204,7 @@
                     return Some(());
                 }
                 Some(false) => return None,
-                None => tokio::time::sleep(LOOK_PAUSE).await,
+                None => tokio::time::sleep(STORE_POLL_INTERVAL).await,
             }
         }
         None
@@ -217,7 +218,7 @@
 
 /// Takes in a succession that the deciding node has told of, and tells whether this node may say
 /// that it has yielded: not while its own order for the group is under way.
-pub fn yield_to(
+pub fn accept_succession(
     context: &Context,
     group: &Group,
     succession: &Succession,
@@ -241,14 +242,16 @@
 
 /// Tells the deciding node by way of the store that this node has yielded, unless that one has
 /// asked this one meanwhile or does not wait for it.
-pub async fn yield_by_store(context: Arc<Context>, group: Arc<Group>, token: u64) {
-    for _ in 0..STORED_YIELDS {
-        tokio::time::sleep(ASKED_WITHIN).await;
+pub async fn report_release_by_store(context: Arc<Context>, group: Arc<Group>, token: u64) {
+    for _ in 0..MAX_STORE_RELEASE_ATTEMPTS {
+        tokio::time::sleep(STORE_RELEASE_DELAY).await;
         if !context.homes.is_awaited(&group.name, context.clock.now()) {
             return;
         }
-        let is_told = group.asked_token() >= token || group.token() > token;
-        if is_told || (!group.is_ordering() && store_yield(&context, &group, token).await) {
+        let is_release_known = group.asked_token() >= token || group.token() > token;
+        if is_release_known
+            || (!group.is_ordering() && store_release(&context, &group, token).await)
+        {
             return;
         }
     }
--- a/crates/spurpier-pipeline/src/duty/successor.rs
+++ b/crates/spurpier-pipeline/src/promotion/successor.rs
@@ -19,15 +19,15 @@
 use crate::unit::{Place, own_attempt};
 
 /// How long a server may take to give a connection for a question.
-const CONNECTION_LIMIT: Duration = Duration::from_millis(400);
+const CONNECTION_TIMEOUT: Duration = Duration::from_millis(400);
 /// How long a server may take to tell its status.
-const STATUS_LIMIT: Duration = Duration::from_millis(400);
+const STATUS_TIMEOUT: Duration = Duration::from_millis(400);
 /// How often a status is asked for again.
-const STATUS_PAUSE: Duration = Duration::from_millis(20);
+const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// How long a successor may take to receive what the former primary has.
-const CATCH_UP_LIMIT: Duration = Duration::from_millis(1_000);
+const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// How long the promotion service may take to answer.
-const ORDER_LIMIT: Duration = Duration::from_millis(1_500);
+const PROMOTION_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// A server that is to take over.
 #[derive(Debug, Clone)]
@@ -39,12 +39,12 @@
 }
 
 /// A server and what it told.
-struct Told {
+struct ServerReport {
     server: Arc<Server>,
     status: Option<ServerStatus>,
 }
 
-impl Told {
+impl ServerReport {
     fn leads(&self) -> bool {
         let status = self.status.as_ref();
         status.is_some_and(|status| status.role == ServerRole::Primary)
@@ -68,18 +68,18 @@
 }
 
 /// Asks one server; none if it does not tell.
-async fn ask(
+async fn send_request(
     context: &Context,
     server: &Arc<Server>,
     request: ServerRequest<'static>,
 ) -> Option<ServerStatus> {
     let clock = &context.clock;
-    let until = clock.now() + CONNECTION_LIMIT;
+    let until = clock.now() + CONNECTION_TIMEOUT;
     let values = Values::new();
     let need = ConnectionNeed::own(&values);
     let lease = server.pool.acquire(need, until).await.ok()?;
     let place = Place::new(Arc::clone(server), lease);
-    let until = clock.now() + STATUS_LIMIT;
+    let until = clock.now() + STATUS_TIMEOUT;
     let (_place, result) = own_attempt(clock, place, request, until).await;
     let answered = result.ok()?;
     context.server_dialect.read_status(&answered.answer)
@@ -94,35 +94,35 @@
     group: &Group,
     former: Option<&Server>,
     request: ServerRequest<'static>,
-) -> Vec<Told> {
+) -> Vec<ServerReport> {
     let former = former.map(|server| &server.incarnation);
     let with_gone = group.synchronous_replicas() > 0;
     let replicas = group.servers().into_iter();
     let replicas = replicas
         .filter(|server| Some(&server.incarnation) != former)
         .filter(|server| with_gone || !server.is_gone());
-    let questions = replicas.map(|server| async move {
-        let status = ask(context, &server, request).await;
-        Told { server, status }
+    let queries = replicas.map(|server| async move {
+        let status = send_request(context, &server, request).await;
+        ServerReport { server, status }
     });
-    futures::future::join_all(questions).await
+    futures::future::join_all(queries).await
 }
 
-fn choose(context: &Context, group: &Group, told: &[Told]) -> Option<Successor> {
+fn choose(context: &Context, group: &Group, reports: &[ServerReport]) -> Option<Successor> {
     let now = context.clock.now();
     let places = &context.places;
-    let candidates: Vec<SuccessorCandidate> = told
+    let candidates: Vec<SuccessorCandidate> = reports
         .iter()
-        .map(|told| SuccessorCandidate {
-            received: told.status.as_ref().map(|status| status.received),
-            eligible: told.server.is_staying() && places.may_succeed(&told.server, now),
-            placement_score: places.fit(group, &told.server, now),
+        .map(|report| SuccessorCandidate {
+            received: report.status.as_ref().map(|status| status.received),
+            eligible: report.server.is_staying() && places.may_succeed(&report.server, now),
+            placement_score: places.fit(group, &report.server, now),
         })
         .collect();
     let chosen = choose_successor(&candidates, group.synchronous_replicas())?;
     // A server that tells nothing may not even run.
-    told[chosen].status.as_ref()?;
-    Some(told[chosen].as_successor())
+    reports[chosen].status.as_ref()?;
+    Some(reports[chosen].as_successor())
 }
 
 /// The server that is to take over from a primary that is lost; none if there is none yet.
@@ -134,22 +134,22 @@
     group: &Group,
     former: Option<&Server>,
 ) -> Option<Successor> {
-    let told = ask_replicas(context, group, former, ServerRequest::Status).await;
+    let reports = ask_replicas(context, group, former, ServerRequest::Status).await;
     // One that lacks what it has shown as the lead has started again without its log.
-    let leading = told
+    let leading = reports
         .iter()
-        .filter(|told| told.leads() && !group.has_lost_log(&told.server, told.received()));
-    let leading = leading.max_by_key(|told| told.term());
-    match leading.filter(|leading| leading.term() == newest_term(&told)) {
+        .filter(|report| report.leads() && !group.has_lost_log(&report.server, report.received()));
+    let leading = leading.max_by_key(|report| report.term());
+    match leading.filter(|leading| leading.term() == newest_term(&reports)) {
         Some(leading) => Some(leading.as_successor()),
-        None => choose(context, group, &told),
+        None => choose(context, group, &reports),
     }
 }
 
 /// Makes sure, where commits wait for replicas, that the chosen successor of a lost primary holds
 /// all that was acknowledged: the replicas are paused, so that the former primary acknowledges
 /// nothing more, and asked again.
-pub async fn holds_all(
+pub async fn holds_all_acknowledged(
     context: &Context,
     group: &Group,
     former: Option<&Server>,
@@ -158,22 +158,22 @@
     if group.synchronous_replicas() == 0 {
         return true;
     }
-    let told = ask_replicas(context, group, former, ServerRequest::Status).await;
-    let term = newest_term(&told) + 1;
-    let told = ask_replicas(context, group, former, ServerRequest::Pause { term }).await;
-    let chosen = choose(context, group, &told);
-    let holds_all = chosen.is_some_and(|chosen| {
+    let reports = ask_replicas(context, group, former, ServerRequest::Status).await;
+    let term = newest_term(&reports) + 1;
+    let reports = ask_replicas(context, group, former, ServerRequest::Pause { term }).await;
+    let chosen = choose(context, group, &reports);
+    let holds_all_acknowledged = chosen.is_some_and(|chosen| {
         let received = |wanted: &Incarnation| {
-            let mut told = told.iter();
-            let told = told.find(|told| told.server.incarnation == *wanted)?;
-            Some(told.status.as_ref()?.received)
+            let mut reports = reports.iter();
+            let report = reports.find(|report| report.server.incarnation == *wanted)?;
+            Some(report.status.as_ref()?.received)
         };
         received(&chosen.server.incarnation) == received(&successor.incarnation)
     });
-    if !holds_all {
+    if !holds_all_acknowledged {
         resume(context, group, former).await;
     }
-    holds_all
+    holds_all_acknowledged
 }
 
 /// Lets the replicas receive again that were paused for a decision.
@@ -189,16 +189,16 @@
 /// the former primary does not lead any more: another node's decision was faster.
 ///
 /// With synchronous replicas it surely holds what was acknowledged so far.
-pub async fn find_heir(
+pub async fn find_handover_successor(
     context: &Context,
     group: &Group,
     former: &Arc<Server>,
 ) -> Option<Successor> {
-    let told = ask_replicas(context, group, Some(former), ServerRequest::Status).await;
-    let heir = choose(context, group, &told)?;
-    let status = ask(context, former, ServerRequest::Status).await;
+    let reports = ask_replicas(context, group, Some(former), ServerRequest::Status).await;
+    let successor = choose(context, group, &reports)?;
+    let status = send_request(context, former, ServerRequest::Status).await;
     let is_replica = status.is_some_and(|status| status.role == ServerRole::Replica);
-    (!is_replica).then_some(heir)
+    (!is_replica).then_some(successor)
 }
 
 /// The server that is to take over in a region from a primary that serves: the one there that has
@@ -206,40 +206,42 @@
 ///
 /// Nothing is lost while the primary goes on, so that a replica that is far behind is not waited
 /// for in vain.
-pub async fn find_heir_in(
+pub async fn find_successor_in_region(
     context: &Context,
     group: &Group,
     former: &Arc<Server>,
     region: &str,
 ) -> Option<Successor> {
-    let told = ask_replicas(context, group, Some(former), ServerRequest::Status).await;
+    let reports = ask_replicas(context, group, Some(former), ServerRequest::Status).await;
     let now = context.clock.now();
     let places = &context.places;
-    let stands_there =
+    let is_in_region =
         |server: &Server| places.region(&server.listing().entry.zone) == Some(region);
     let may_take_over = |server: &Server| {
-        stands_there(server) && server.is_staying() && places.may_succeed(server, now)
+        is_in_region(server) && server.is_staying() && places.may_succeed(server, now)
     };
-    let candidates = told.into_iter().filter(|told| may_take_over(&told.server));
-    let received = candidates.filter_map(|told| Some((told.status?.received, told.server)));
-    let (_, heir) = received.max_by_key(|(received, _)| *received)?;
-    let status = ask(context, former, ServerRequest::Status).await?;
+    let candidates = reports
+        .into_iter()
+        .filter(|report| may_take_over(&report.server));
+    let received = candidates.filter_map(|report| Some((report.status?.received, report.server)));
+    let (_, successor) = received.max_by_key(|(received, _)| *received)?;
+    let status = send_request(context, former, ServerRequest::Status).await?;
     let leads = status.role == ServerRole::Primary;
     let received = status.received;
-    let receives = leads && await_position(context, &heir, received, CATCH_UP_LIMIT).await;
+    let receives = leads && await_position(context, &successor, received, CATCH_UP_TIMEOUT).await;
     receives.then_some(Successor {
-        server: heir,
+        server: successor,
         received,
     })
 }
 
 /// What became of a primary that was told to step down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SteppedDown {
+pub enum StepDownOutcome {
     /// It has, with this position, and the heir has received that.
-    HeirHasAll(Position),
+    SuccessorCaughtUp(Position),
     /// It has, with this position; the heir lacks some of it.
-    HeirLacks(Position),
+    SuccessorBehind(Position),
     /// It did not say so.
     Unknown,
 }
@@ -249,28 +251,28 @@
     context: &Context,
     group: &Group,
     former: &Arc<Server>,
-    heir: &Arc<Server>,
-) -> SteppedDown {
-    let told = ask_replicas(context, group, None, ServerRequest::Status).await;
-    let term = newest_term(&told) + 1;
-    let status = ask(context, former, ServerRequest::StepDown { term }).await;
+    successor: &Arc<Server>,
+) -> StepDownOutcome {
+    let reports = ask_replicas(context, group, None, ServerRequest::Status).await;
+    let term = newest_term(&reports) + 1;
+    let status = send_request(context, former, ServerRequest::StepDown { term }).await;
     let Some(status) = status.filter(|status| status.role == ServerRole::Replica) else {
-        return SteppedDown::Unknown;
+        return StepDownOutcome::Unknown;
     };
-    if await_position(context, heir, status.received, CATCH_UP_LIMIT).await {
-        SteppedDown::HeirHasAll(status.received)
+    if await_position(context, successor, status.received, CATCH_UP_TIMEOUT).await {
+        StepDownOutcome::SuccessorCaughtUp(status.received)
     } else {
-        SteppedDown::HeirLacks(status.received)
+        StepDownOutcome::SuccessorBehind(status.received)
     }
 }
 
-fn newest_term(told: &[Told]) -> u64 {
-    told.iter().map(Told::term).max().unwrap_or(0)
+fn newest_term(reports: &[ServerReport]) -> u64 {
+    reports.iter().map(ServerReport::term).max().unwrap_or(0)
 }
 
 /// What a server tells of itself; none if it does not.
 pub async fn status_of(context: &Context, server: &Arc<Server>) -> Option<ServerStatus> {
-    ask(context, server, ServerRequest::Status).await
+    send_request(context, server, ServerRequest::Status).await
 }
 
 /// Waits until a server has received a position, for a while; tells whether it has.
@@ -278,23 +280,23 @@
     context: &Context,
     server: &Arc<Server>,
     position: Position,
-    limit: Duration,
+    maximum_wait: Duration,
 ) -> bool {
     let waiting = async {
         loop {
-            let status = ask(context, server, ServerRequest::Status).await;
+            let status = send_request(context, server, ServerRequest::Status).await;
             if status.is_some_and(|status| status.received >= position) {
                 return;
             }
-            tokio::time::sleep(STATUS_PAUSE).await;
+            tokio::time::sleep(STATUS_POLL_INTERVAL).await;
         }
     };
-    timeout(limit, waiting).await.is_ok()
+    timeout(maximum_wait, waiting).await.is_ok()
 }
 
 /// Orders a server to lead, unless it has started again since it was chosen: the order names the
 /// server and not its life, and the present life may lack what the chosen one held.
-pub async fn order(
+pub async fn promote(
     context: &Context,
     group: &Group,
     successor: &Server,
@@ -315,7 +317,7 @@
         holder: context.settings.node.name.clone(),
         token,
     });
-    let answer = timeout(ORDER_LIMIT, call).await;
+    let answer = timeout(PROMOTION_TIMEOUT, call).await;
     let answer = answer.unwrap_or(Err(StoreError::Unknown));
     log_event!(
         events::PROMOTION_ANSWERED,
--- a/crates/spurpier-pipeline/src/duty/watch.rs
+++ b/crates/spurpier-pipeline/src/promotion/watch.rs
@@ -14,10 +14,10 @@
 use tokio::time::timeout;
 
 use super::evacuation::{KnownStepDown, is_lost};
-use super::holder::{Decision, KnownDuty, read_duty, store_decision};
+use super::lease::{Decision, KnownPromotionLease, read_promotion_lease, store_decision};
 use super::peers::Peers;
-use super::round::{Round, yield_to};
-use super::successor::{Successor, find_successor, holds_all, order, resume};
+use super::round::{ReleaseRound, accept_succession};
+use super::successor::{Successor, find_successor, holds_all_acknowledged, promote, resume};
 use crate::context::Context;
 use crate::events;
 use crate::group::Group;
@@ -27,35 +27,35 @@
 use crate::unit::{NotRun, renew_proof};
 
 /// How often the groups are looked at.
-const TICK: Duration = Duration::from_millis(150);
+const WATCH_INTERVAL: Duration = Duration::from_millis(150);
 /// How long the lead may take to prove itself to the watch.
-const PROVING_LIMIT: Duration = Duration::from_millis(350);
+const PROOF_TIMEOUT: Duration = Duration::from_millis(350);
 /// For how long all proofs must have failed before others are asked.
-const PATIENCE: Duration = Duration::from_millis(200);
+const FAILURE_TIMEOUT: Duration = Duration::from_millis(200);
 /// The pause between two looks of a case.
-const CASE_PAUSE: Duration = Duration::from_millis(120);
+const TASK_INTERVAL: Duration = Duration::from_millis(120);
 /// The pause after a decision that found no successor.
-pub(super) const UNDECIDED_PAUSE: Duration = Duration::from_millis(400);
+pub(super) const UNDECIDED_DELAY: Duration = Duration::from_millis(400);
 /// How long a new primary may take to lead after its order was taken.
-const TAKE_OVER_LIMIT: Duration = Duration::from_millis(2_500);
+const TAKEOVER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Looks after all groups; never returns.
 pub async fn watch_groups(
     context: Arc<Context>,
     peers: Arc<Peers>,
-    mut wanted: mpsc::Receiver<String>,
+    mut requested_groups: mpsc::Receiver<String>,
 ) {
-    let open = Arc::new(OpenCases::default());
+    let tasks = Arc::new(ActiveTasks::default());
     loop {
         // A group that another node wants seen to is looked at at once.
-        if let Ok(Some(name)) = timeout(TICK, wanted.recv()).await {
+        if let Ok(Some(name)) = timeout(WATCH_INTERVAL, requested_groups.recv()).await {
             let group = context.group(&name);
-            open.start(&context, &peers, group);
+            tasks.start(&context, &peers, group);
             continue;
         }
         for group in context.groups_in_use() {
             if is_in_doubt(&context, &group) {
-                open.start(&context, &peers, group);
+                tasks.start(&context, &peers, group);
             }
         }
     }
@@ -66,21 +66,21 @@
     if group.is_attended() {
         return false;
     }
-    let Some(lead) = group.lead() else {
+    let Some(leader) = group.lead() else {
         return !group.servers().is_empty() && *context.directory_known.borrow();
     };
     let now = context.clock.now();
-    if context.places.reason_to_move(group, &lead, now).is_some() {
+    if context.places.reason_to_move(group, &leader, now).is_some() {
         return true;
     }
-    lead.health().silences > 0
+    leader.health().silences > 0
 }
 
 /// The groups that are being seen to.
 #[derive(Default)]
-struct OpenCases(Mutex<HashSet<String>>);
+struct ActiveTasks(Mutex<HashSet<String>>);
 
-impl OpenCases {
+impl ActiveTasks {
     fn start(self: &Arc<Self>, context: &Arc<Context>, peers: &Arc<Peers>, group: Arc<Group>) {
         let mut open = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         if !open.insert(group.name.clone()) {
@@ -89,20 +89,20 @@
         group.set_attended(true);
         context.note_visited(&group);
         context.lease_wanted.notify_one();
-        let case = Case {
+        let task = PromotionTask {
             context: Arc::clone(context),
             peers: Arc::clone(peers),
             group,
             missing_since: None,
-            holder: None,
+            known_lease: None,
             step_down: None,
             assessed_at: context.clock.now(),
         };
-        let cases = Arc::clone(self);
+        let tasks = Arc::clone(self);
         tokio::spawn(async move {
-            let group = Arc::clone(&case.group);
-            case.run().await;
-            let mut open = cases.0.lock().unwrap_or_else(PoisonError::into_inner);
+            let group = Arc::clone(&task.group);
+            task.run().await;
+            let mut open = tasks.0.lock().unwrap_or_else(PoisonError::into_inner);
             open.remove(&group.name);
             group.set_attended(false);
         });
@@ -110,65 +110,67 @@
 }
 
 /// What a group needs.
-enum Need {
+enum RequiredAction {
     /// Nothing.
     Nothing,
     /// More looks.
-    Patience,
+    Wait,
     /// A successor of a primary that serves and is to be replaced.
     HandOver(Arc<Server>, MoveReason),
     /// A successor of a primary that is lost.
-    Replacement(Option<Arc<Server>>),
+    Replace(Option<Arc<Server>>),
 }
 
 /// One group that may need a new primary.
-pub(super) struct Case {
+pub(super) struct PromotionTask {
     pub(super) context: Arc<Context>,
     pub(super) peers: Arc<Peers>,
     pub(super) group: Arc<Group>,
     missing_since: Option<Timestamp>,
     /// The duty as it was read, and what is known of its holder since.
-    holder: Option<(KnownDuty, HolderStatus)>,
+    known_lease: Option<(KnownPromotionLease, HolderStatus)>,
     /// That a primary of an evacuated zone has stepped down.
     pub(super) step_down: Option<KnownStepDown>,
     /// When the look began that told what the group needs.
     assessed_at: Timestamp,
 }
 
-impl Case {
+impl PromotionTask {
     async fn run(mut self) {
         loop {
             match self.assess().await {
-                Need::Nothing => return,
-                Need::Patience => {}
-                Need::HandOver(former, reason) => {
-                    self.see_to(Some(former), Some(reason)).await;
+                RequiredAction::Nothing => return,
+                RequiredAction::Wait => {}
+                RequiredAction::HandOver(former, reason) => {
+                    self.decide_or_ask_holder(Some(former), Some(reason)).await;
                 }
-                Need::Replacement(former) => self.see_to(former, None).await,
+                RequiredAction::Replace(former) => self.decide_or_ask_holder(former, None).await,
             }
-            tokio::time::sleep(CASE_PAUSE).await;
+            tokio::time::sleep(TASK_INTERVAL).await;
         }
     }
 
-    async fn assess(&mut self) -> Need {
+    async fn assess(&mut self) -> RequiredAction {
         let clock = &self.context.clock;
-        let started = clock.now();
-        self.assessed_at = started;
+        let started_at = clock.now();
+        self.assessed_at = started_at;
         if !self.context.holds_lease(&self.group) {
             // That the lead cannot be used says nothing of it.
             self.missing_since = None;
-            return Need::Patience;
+            return RequiredAction::Wait;
         }
-        let until = started + PROVING_LIMIT;
-        let proven = renew_proof(&self.context, &self.group, started, until).await;
-        let lead = self.group.lead();
+        let until = started_at + PROOF_TIMEOUT;
+        let proven = renew_proof(&self.context, &self.group, started_at, until).await;
+        let leader = self.group.lead();
         if proven.is_ok() {
             self.missing_since = None;
             self.step_down = None;
-            return lead.map_or(Need::Nothing, |lead| self.need_of_serving(lead));
+            return leader.map_or(RequiredAction::Nothing, |leader| {
+                self.action_for_serving_primary(leader)
+            });
         }
         if self.group.servers().is_empty() {
-            return Need::Nothing;
+            return RequiredAction::Nothing;
         }
         if let Err(NotRun::Barred(Bar::Evacuated)) = proven
             && let Some(barred) = self.candidate()
@@ -176,31 +178,31 @@
         {
             // That nothing may be sent to it says nothing of it.
             self.missing_since = None;
-            return Need::Patience;
+            return RequiredAction::Wait;
         }
-        if self.has_no_lead() {
-            return Need::Replacement(None);
+        if self.has_no_leader() {
+            return RequiredAction::Replace(None);
         }
         let is_load = matches!(
             proven,
             Err(NotRun::NoConnection | NotRun::Barred(Bar::Cold(_)))
         );
-        if is_load && !lead.is_some_and(|lead| lead.health().is_silent()) {
+        if is_load && !leader.is_some_and(|leader| leader.health().is_silent()) {
             // All connections are at work, or a cold primary takes no more for now: that tells of
             // load, not of a lost primary.
-            return Need::Patience;
+            return RequiredAction::Wait;
         }
-        let missing_since = *self.missing_since.get_or_insert(started);
+        let missing_since = *self.missing_since.get_or_insert(started_at);
         let missing_for = clock.now().since(missing_since);
-        if missing_for < PATIENCE {
-            return Need::Patience;
+        if missing_for < FAILURE_TIMEOUT {
+            return RequiredAction::Wait;
         }
         let claimant = self.claimant();
-        let (sights, all_holders_reachable) = tokio::join!(
-            self.peers.sights(&self.group),
-            self.peers.reaches_all(&self.group)
+        let (primary_observations, all_holders_reachable) = tokio::join!(
+            self.peers.primary_observations(&self.group),
+            self.peers.reaches_all_lease_holders(&self.group)
         );
-        let (peer_observations, peers_asked) = sights;
+        let (peer_observations, peers_asked) = primary_observations;
         let missing = MissingPrimary {
             missing_for,
             peer_observations,
@@ -208,33 +210,35 @@
             primary_listed: claimant.is_some(),
             all_holders_reachable,
         };
-        if decide_failover(&missing, PATIENCE) == FailoverDecision::Keep {
-            return Need::Patience;
+        if decide_failover(&missing, FAILURE_TIMEOUT) == FailoverDecision::Keep {
+            return RequiredAction::Wait;
         }
         log_event!(
             events::PRIMARY_SUSPECTED,
             group = self.group.name,
-            server = lead_name(claimant.as_deref()),
+            server = leader_name(claimant.as_deref()),
             missing_ms = missing_for.as_millis(),
             peers = missing.peer_observations.len(),
             asked = missing.peers_asked
         );
         match claimant {
             Some(claimant) if self.still_leads_evacuated(&claimant).await => {
-                Need::HandOver(claimant, MoveReason::Evacuated)
+                RequiredAction::HandOver(claimant, MoveReason::Evacuated)
             }
-            claimant => Need::Replacement(claimant),
+            claimant => RequiredAction::Replace(claimant),
         }
     }
 
     /// What the group of a primary that serves needs.
-    fn need_of_serving(&self, lead: Arc<Server>) -> Need {
+    fn action_for_serving_primary(&self, leader: Arc<Server>) -> RequiredAction {
         let now = self.context.clock.now();
         let places = &self.context.places;
-        match places.reason_to_move(&self.group, &lead, now) {
-            Some(MoveReason::Evacuated) if !self.has_heir(&lead) => Need::Patience,
-            Some(reason) => Need::HandOver(lead, reason),
-            None => Need::Nothing,
+        match places.reason_to_move(&self.group, &leader, now) {
+            Some(MoveReason::Evacuated) if !self.has_eligible_successor(&leader) => {
+                RequiredAction::Wait
+            }
+            Some(reason) => RequiredAction::HandOver(leader, reason),
+            None => RequiredAction::Nothing,
         }
     }
 
@@ -248,76 +252,85 @@
     }
 
     /// Decides if this node holds the duty or must take it over; otherwise tells its holder.
-    async fn see_to(&mut self, former: Option<Arc<Server>>, planned: Option<MoveReason>) {
-        let Some(duty) = read_duty(&self.context).await else {
+    async fn decide_or_ask_holder(
+        &mut self,
+        former: Option<Arc<Server>>,
+        reason: Option<MoveReason>,
+    ) {
+        let Some(state) = read_promotion_lease(&self.context).await else {
             return;
         };
-        let duty = duty.holder;
+        let lease = state.lease;
         let now = self.context.clock.now();
-        let record = match &self.holder {
-            Some((known, record)) if *known == duty => *record,
+        let status = match &self.known_lease {
+            Some((known, status)) if *known == lease => *status,
             _ => HolderStatus::new(now),
         };
-        self.holder = Some((duty.clone(), record));
+        self.known_lease = Some((lease.clone(), status));
         let own_name = self.context.settings.node.name.as_str();
-        match next_promotion_step(duty.row.as_ref(), own_name, &record, now) {
-            PromotionStep::Decide => match (former, planned) {
-                (Some(former), Some(reason)) => self.hand_over(&duty, former, reason).await,
-                (former, _) => self.replace(&duty, former).await,
+        match next_promotion_step(lease.row.as_ref(), own_name, &status, now) {
+            PromotionStep::Decide => match (former, reason) {
+                (Some(former), Some(reason)) => self.hand_over(&lease, former, reason).await,
+                (former, _) => self.replace(&lease, former).await,
             },
-            PromotionStep::AskHolder => self.ask_holder(&duty).await,
+            PromotionStep::AskHolder => self.ask_holder(&lease).await,
         }
     }
 
-    async fn ask_holder(&mut self, duty: &KnownDuty) {
-        let Some(row) = &duty.row else {
+    async fn ask_holder(&mut self, lease: &KnownPromotionLease) {
+        let Some(row) = &lease.row else {
             return;
         };
         let asked_at = self.context.clock.now();
         let group = self.group.name.as_str();
         let region = self.context.places.demand.wish(group, asked_at);
-        let heard = self.peers.tell_holder(&row.holder, group, region).await;
-        if let Some((_, record)) = &mut self.holder {
-            record.record_request(asked_at, heard);
+        let was_answered = self
+            .peers
+            .ask_for_decision(&row.holder, group, region)
+            .await;
+        if let Some((_, status)) = &mut self.known_lease {
+            status.record_request(asked_at, was_answered);
         }
     }
 
     /// Replaces a lost primary, once no node can use it any more.
-    async fn replace(&mut self, duty: &KnownDuty, former: Option<Arc<Server>>) {
+    async fn replace(&mut self, lease: &KnownPromotionLease, former: Option<Arc<Server>>) {
         let (context, group) = (Arc::clone(&self.context), Arc::clone(&self.group));
         // A successor that has started again may hold more than any other: it is a candidate.
         let former = former.filter(|former| !group.is_restarted_successor(&former.incarnation));
         let successor = find_successor(&context, &group, former.as_deref()).await;
         let Some(successor) = successor else {
             // Each look costs calls to the servers.
-            tokio::time::sleep(UNDECIDED_PAUSE).await;
+            tokio::time::sleep(UNDECIDED_DELAY).await;
             return;
         };
-        if self.is_led_again() || self.may_lack_commits(&successor.server).await {
+        if self.has_leader_again() || self.may_lack_commits(&successor.server).await {
             return;
         }
-        let nobody_leads = self.has_decided_last(duty);
-        let Some(decision) = self.decide(duty, &successor, None).await else {
+        let nobody_leads = self.made_last_decision(lease);
+        let Some(decision) = self.decide(lease, &successor, None).await else {
             return;
         };
-        self.note_decided_anew();
+        self.record_new_decision();
         let peers = Arc::clone(&self.peers);
-        let mut round = Round::new(&context, &peers, &group, &decision);
+        let mut round = ReleaseRound::new(&context, &peers, &group, &decision);
         if nobody_leads {
-            round.note_stepped_down();
+            round.record_step_down();
         }
         let successor = successor.server;
-        let holds_all = holds_all(&context, &group, former.as_deref(), &successor).await;
-        if holds_all && let Some(ordering) = round.await_order().await {
-            let answer = order(&context, &group, &successor, decision.token()).await;
-            drop(ordering);
+        let holds_all_acknowledged =
+            holds_all_acknowledged(&context, &group, former.as_deref(), &successor).await;
+        if holds_all_acknowledged && let Some(promotion) = round.wait_until_promotable().await {
+            let answer = promote(&context, &group, &successor, decision.token()).await;
+            drop(promotion);
             resume(&context, &group, former.as_deref()).await;
-            self.note_ordered(&answer, former.as_deref()).await;
+            self.handle_promotion_answer(&answer, former.as_deref())
+                .await;
         } else {
             resume(&context, &group, former.as_deref()).await;
-            tokio::time::sleep(UNDECIDED_PAUSE).await;
+            tokio::time::sleep(UNDECIDED_DELAY).await;
         }
-        round.clean_up().await;
+        round.remove_stored_releases().await;
     }
 
     /// Stores the decision that a server takes over; from then on this node uses no other. A primary
@@ -327,15 +340,16 @@
     /// is open: a newer decision waits for it, and so for its order.
     pub(super) async fn decide(
         &mut self,
-        duty: &KnownDuty,
+        lease: &KnownPromotionLease,
         successor: &Successor,
         deposed: Option<&Server>,
     ) -> Option<Decision> {
         if !self.context.holds_lease(&self.group) {
             return None;
         }
-        let decision = store_decision(&self.context, duty, &self.group, successor, deposed).await?;
-        yield_to(
+        let decision =
+            store_decision(&self.context, lease, &self.group, successor, deposed).await?;
+        accept_succession(
             &self.context,
             &self.group,
             &decision.succession,
@@ -344,44 +358,44 @@
         Some(decision)
     }
 
-    pub(super) async fn note_ordered(
+    pub(super) async fn handle_promotion_answer(
         &mut self,
         answer: &Result<PromotionAnswer, StoreError>,
         former: Option<&Server>,
     ) {
         // An order without an answer may be carried out all the same.
         if !matches!(answer, Ok(PromotionAnswer::Refused)) {
-            self.await_take_over(former).await;
+            self.await_takeover(former).await;
         }
     }
 
     /// Whether a lead was proved since the look that found none.
-    fn is_led_again(&self) -> bool {
+    fn has_leader_again(&self) -> bool {
         let proven_at = self.group.proven_at();
         proven_at.is_some_and(|proven| proven >= self.assessed_at)
     }
 
     /// Waits until another server than the former primary has proved the lead.
-    async fn await_take_over(&mut self, former: Option<&Server>) {
+    async fn await_takeover(&mut self, former: Option<&Server>) {
         let former = former.map(|server| server.incarnation.clone());
         let waiting = async {
             loop {
                 let since = self.context.clock.now();
-                let until = since + PROVING_LIMIT;
+                let until = since + PROOF_TIMEOUT;
                 let proven = renew_proof(&self.context, &self.group, since, until).await;
-                let lead = self.group.lead().map(|lead| lead.incarnation.clone());
-                if proven.is_ok() && lead != former {
+                let leader = self.group.lead().map(|leader| leader.incarnation.clone());
+                if proven.is_ok() && leader != former {
                     return;
                 }
-                tokio::time::sleep(CASE_PAUSE / 2).await;
+                tokio::time::sleep(TASK_INTERVAL / 2).await;
             }
         };
         // If the time passes, the case looks at the group anew.
-        let _ = timeout(TAKE_OVER_LIMIT, waiting).await;
+        let _ = timeout(TAKEOVER_TIMEOUT, waiting).await;
     }
 }
 
-fn lead_name(server: Option<&Server>) -> String {
+fn leader_name(server: Option<&Server>) -> String {
     server.map_or_else(
         || "none".to_owned(),
         |server| server.incarnation.to_string(),
