--- a/crates/spurpier-pipeline/src/promotion/demand.rs
+++ b/crates/spurpier-pipeline/src/promotion/demand.rs
@@ -1,4 +1,5 @@
-//! Telling what is asked of primaries to the homes that decide on their moves, and deciding.
+//! Reports regional demand for primaries to the homes that decide on moves, and makes those
+//! decisions.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -15,13 +16,14 @@
 use crate::group::Group;
 use crate::homes::Home;
 
-/// How often a node tells what its clients have asked for. Only groups that were asked for within
-/// bounds are told of: one datagram each, and nothing where no region is named.
+/// How often a node reports what its clients have requested. Only requests that are restricted to
+/// some regions are reported, in one datagram for each group. Without such requests nothing is
+/// sent.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// How many homes are told in turn until one answers.
+/// How many homes are contacted in turn until one answers.
 const MAX_CONTACTED_HOMES: usize = 3;
 
-/// Tells of demand and decides on moves; never returns.
+/// Reports demand and decides on moves of primaries. Never returns.
 pub async fn report_demand_and_decide_moves(context: Arc<Context>, peers: Arc<Peers>) {
     loop {
         tokio::time::sleep(REPORT_INTERVAL).await;
@@ -41,7 +43,8 @@
     }
 }
 
-/// The homes of a group in the order in which they decide on moves: the first that can be reached.
+/// The homes of a group in the order in which they decide on moves, without those that cannot be
+/// reached. The first one decides.
 fn deciding_homes(context: &Context, group: &str) -> Vec<Home> {
     let homes = context.homes_of(group);
     let mut ranked = context.homes.ranked_over_all(&homes, group);
@@ -59,7 +62,8 @@
     }
 }
 
-/// Decides on a group's move if that is this node's turn; the watch sees to what is wanted.
+/// Decides on a group's move if this node is first in the order of homes. The watch carries the
+/// move out.
 fn decide(context: &Context, group: &Group) {
     if deciding_homes(context, &group.name).first() != Some(&Home::Own) {
         return;
@@ -91,7 +95,7 @@
 }
 
 impl Peers {
-    /// Takes in that another node wants a group's primary in a region, if the group is known.
+    /// Records that another node requests a group's primary in a region, if the group is known.
     pub(super) fn record_move_request(&self, group: &str, region: String) {
         let context = self.context();
         if context.known_group(group).is_some() {
@@ -100,7 +104,8 @@
         }
     }
 
-    /// Takes in demand that another node tells; false if this node does not know the group.
+    /// Records demand that another node has reported. Returns false if this node does not know the
+    /// group.
     pub(super) fn record_demand(&self, group: &str, reports: List<DemandReport>) -> bool {
         let context = self.context();
         if context.known_group(group).is_none() {
@@ -112,8 +117,8 @@
         true
     }
 
-    /// Tells demand to the first of the homes that answers; one without an address is this node,
-    /// which knows it.
+    /// Reports demand to the first of the homes that answers. `None` in the list stands for this
+    /// node, which has recorded the demand already.
     async fn report_demand(
         self: Arc<Self>,
         group: String,
@@ -132,7 +137,8 @@
     }
 }
 
-/// The message that tells as much demand as a datagram holds; the greatest comes first.
+/// The message with as much demand as fits into a datagram. `demand` is sorted, greatest first, and
+/// the smallest entries are dropped.
 fn demand_message(request_id: u64, group: &str, demand: &[RegionDemand]) -> PeerMessage {
     let mut reports: Vec<DemandReport> = demand.iter().map(DemandReport::from).collect();
     loop {
--- a/crates/spurpier-pipeline/src/promotion/evacuation.rs
+++ b/crates/spurpier-pipeline/src/promotion/evacuation.rs
@@ -1,5 +1,5 @@
-//! What replacing a primary of an evacuated zone adds: its server lives on, so that no acknowledged
-//! commit may be lost for it, and once the zone is closed it cannot be asked any more.
+//! Additional rules for replacing the primary of an evacuated zone. Its server stays in service, so
+//! no acknowledged commit may be lost, and once the zone is closed the server cannot be queried.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,38 +15,40 @@
 use crate::ports::ServerRole;
 use crate::server::Server;
 
-/// How long an heir may take to receive what an evacuated primary has, before that one steps down.
-/// Replicas are 8 to 60 ms behind.
+/// How long a successor may take to receive what an evacuated primary holds before that primary
+/// steps down. Replicas are 8 to 60 ms behind.
 const EVACUATION_CATCH_UP_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long before its zone is closed an evacuated primary steps down although its heir receives
-/// nothing: what it has must be asked while it can be, so that the heir may lead once it has received
-/// that. Looks of a case are half a second apart, and stepping down takes a write to the store.
+/// How long before its zone closes an evacuated primary steps down even if its successor receives
+/// nothing. Its position must be read while the server can be queried, so that the successor can be
+/// promoted once it has received that position. Assessments are half a second apart, and stepping
+/// down takes a write to the store.
 const FORCED_STEP_DOWN_MARGIN: Duration = Duration::from_millis(1_000);
 
-/// That a primary of an evacuated zone has stepped down.
+/// The step-down of a primary in an evacuated zone.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct KnownStepDown {
-    /// What it had received.
+    /// The position that the primary had received.
     position: Position,
-    /// The token of the decision under which this node made it step down, as long as no server has
-    /// been ordered to lead since.
+    /// The token of the decision under which this node made the primary step down; `None` once a
+    /// server may have been promoted.
     unpromoted_token: Option<u64>,
 }
 
-/// Whether a server is lost, as far as was seen while it could be asked.
+/// Whether a server is lost, according to the last observations while it could be queried.
 pub fn is_lost(server: &Server) -> bool {
     server.is_gone() || server.health().is_silent()
 }
 
 impl PromotionTask {
-    /// The server that this node would use as the lead.
+    /// The server that this node would use as the leader.
     pub(super) fn candidate(&self) -> Option<Arc<Server>> {
         let context = &self.context;
         let (now, leaving_use) = (context.clock.now(), context.leaving_use());
         self.group.lead_candidate(now, leaving_use)
     }
 
-    /// Whether another server of the group may lead where it stands.
+    /// Whether another server of the group may become the primary: it is not leaving, and its
+    /// locality allows it.
     pub(super) fn has_eligible_successor(&self, leader: &Server) -> bool {
         let now = self.context.clock.now();
         let places = &self.context.places;
@@ -55,8 +57,9 @@
         others.any(|server| server.is_staying() && places.may_succeed(&server, now))
     }
 
-    /// Whether a primary that cannot be used leads all the same, as after a decision whose step down
-    /// was not answered: then it is handed over from again, not taken as lost.
+    /// Whether a primary that cannot be used leads nevertheless, as after a decision whose
+    /// step-down request was not answered. It is then handed over from again and not treated as
+    /// lost.
     pub(super) async fn still_leads_evacuated(&self, claimant: &Arc<Server>) -> bool {
         if !claimant.is_evacuated() || is_lost(claimant) {
             return false;
@@ -65,8 +68,8 @@
         status.is_some_and(|status| status.role == ServerRole::Primary)
     }
 
-    /// Whether an evacuated primary steps down now: its heir receives what it has, or it cannot be
-    /// asked for much longer. Until then it serves.
+    /// Whether an evacuated primary steps down now: its successor has received what it holds, or it
+    /// can soon no longer be queried. Until then it serves.
     pub(super) async fn may_step_down(
         &self,
         former: &Arc<Server>,
@@ -90,7 +93,7 @@
         closes_in.is_some_and(|closes_in| closes_in <= FORCED_STEP_DOWN_MARGIN)
     }
 
-    /// Remembers what an evacuated primary had when it stepped down.
+    /// Records the position of an evacuated primary when it stepped down.
     pub(super) fn record_step_down(
         &mut self,
         stepped_down: StepDownOutcome,
@@ -113,31 +116,32 @@
         };
     }
 
-    /// Whether no server leads the group, since this node made the primary step down and has ordered
-    /// none to lead.
+    /// Whether the group has no leader: this node made the primary step down and has promoted no
+    /// server since.
     pub(super) fn has_no_leader(&self) -> bool {
         let unpromoted_token = self.step_down.and_then(|known| known.unpromoted_token);
         unpromoted_token == Some(self.group.token())
     }
 
-    /// Whether that is so still, by the duty as it stands in the store: then nobody can use a lead
-    /// that a new decision would have to wait for.
+    /// Whether the step-down without a promotion is also the newest decision in the store. Then no
+    /// node can use a leader that a new decision would have to wait for.
     pub(super) fn made_last_decision(&self, lease: &KnownPromotionLease) -> bool {
         let unpromoted_token = self.step_down.and_then(|known| known.unpromoted_token);
         let newest = lease.row.as_ref().map(|row| row.token);
         unpromoted_token.is_some() && unpromoted_token == newest
     }
 
-    /// Notes that a server may be ordered to lead from now on.
+    /// Records that a server may be promoted from now on.
     pub(super) fn record_new_decision(&mut self) {
         if let Some(known) = &mut self.step_down {
             known.unpromoted_token = None;
         }
     }
 
-    /// Whether a successor may lack commits that a server of an evacuated zone holds, which lives on:
-    /// then nobody is ordered to lead, and what needs the lead is refused until the successor has
-    /// received them or the zone is taken back.
+    /// Whether a successor may lack commits that a server of an evacuated zone holds, which stays
+    /// in service. If so, logs it, waits for a short delay and returns true. No server is then
+    /// promoted, and work that needs the leader is refused until the successor has received the
+    /// commits or the zone is taken back.
     pub(super) async fn may_lack_commits(&mut self, successor: &Arc<Server>) -> bool {
         let required = self.required_position(successor).await;
         let received = match &required {
@@ -194,26 +198,26 @@
                     }
                     RequiredPosition::Position(status.received)
                 }
-                // It is as lost as a primary anywhere else.
+                // It is treated as lost, like a primary in any other zone.
                 None => RequiredPosition::Nothing,
             },
             ZonePhase::Closed if self.group.led_last(&server.incarnation) => {
                 RequiredPosition::Unknown
             }
-            // A replica: what it holds the primary held too, which is lost.
+            // A replica holds nothing that the primary, which is lost, did not hold too.
             ZonePhase::Closed => RequiredPosition::Nothing,
         }
     }
 }
 
-/// What a successor must have received.
+/// The position that a successor must have received.
 #[derive(Debug)]
 enum RequiredPosition {
-    /// Nothing that is held in an evacuated zone.
+    /// None: no server of an evacuated zone holds anything that is needed.
     Nothing,
-    /// This position.
+    /// At least this position.
     Position(Position),
-    /// What the former primary holds, which cannot be asked.
+    /// The position of the former primary, which cannot be queried.
     Unknown,
 }
 
--- a/crates/spurpier-pipeline/src/promotion/hand_over.rs
+++ b/crates/spurpier-pipeline/src/promotion/hand_over.rs
@@ -1,4 +1,4 @@
-//! Handing a group over from a primary that serves.
+//! Handover of a group from a primary that is in service.
 
 use std::sync::Arc;
 
@@ -18,8 +18,8 @@
 use crate::server::Server;
 
 impl PromotionTask {
-    /// Hands a group over from a primary that serves, without losing a commit: it steps down, its
-    /// heir receives the rest, and is ordered to lead.
+    /// Hands a group over from a primary that is in service without losing a commit: the primary
+    /// steps down, its successor receives the rest of the log and is promoted.
     pub(super) async fn hand_over(
         &mut self,
         lease: &KnownPromotionLease,
@@ -35,7 +35,8 @@
         {
             return;
         }
-        // Once its zone is closed a node that takes this over could not ask it what it holds.
+        // Names the former primary in the decision: a node that takes over the promotion could not
+        // query its position once the zone is closed.
         let deposed = former.is_evacuated().then_some(&*former);
         let Some(decision) = self.decide(lease, &successor, deposed).await else {
             return;
@@ -55,8 +56,8 @@
             round.record_step_down();
         }
         self.record_step_down(stepped_down, &former, decision.succession.token);
-        // The server of a primary that leaves ends: a successor that is too far behind takes over all
-        // the same, since the group must serve. One that stays can lead again.
+        // The server of a leaving primary shuts down, so a successor that is too far behind takes
+        // over nevertheless: the group must serve. A primary that stays can be reinstated.
         let may_lose_commits = reason == MoveReason::Leaving && group.synchronous_replicas() == 0;
         let may_promote =
             may_lose_commits || matches!(stepped_down, StepDownOutcome::SuccessorCaughtUp(_));
@@ -92,9 +93,9 @@
         }
     }
 
-    /// Lets a primary that was told to step down lead again, since its heir lacks something: it
-    /// holds all that was acknowledged. If that fails, the group is seen to as one without a
-    /// primary.
+    /// Promotes a primary again that has stepped down, since its successor lacks commits: the
+    /// primary holds everything that was acknowledged. If that fails, the group is handled as one
+    /// without a primary.
     async fn reinstate(&mut self, former: &Arc<Server>, stepped_down: StepDownOutcome) {
         let (context, group) = (Arc::clone(&self.context), Arc::clone(&self.group));
         let Some(state) = read_promotion_lease(&context).await else {
@@ -115,7 +116,7 @@
         let peers = Arc::clone(&self.peers);
         let mut round = ReleaseRound::new(&context, &peers, &group, &decision);
         if matches!(stepped_down, StepDownOutcome::SuccessorBehind(_)) {
-            // No server leads, and the heir was not ordered to.
+            // No server leads, and the successor was not promoted.
             round.record_step_down();
         }
         if let Some(promotion) = round.wait_until_promotable().await {
--- a/crates/spurpier-pipeline/src/promotion/lease.rs
+++ b/crates/spurpier-pipeline/src/promotion/lease.rs
@@ -1,4 +1,5 @@
-//! The rows of the duty in the store: reading them, and storing a decision under a new token.
+//! Reads the rows of the promotion lease from the store, and stores decisions under new fencing
+//! tokens.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,65 +24,66 @@
 use crate::progress::Progress;
 use crate::server::Server;
 
-/// The key of the row of the duty's holder.
+/// The key of the row that names the lease's holder.
 const HOLDER_KEY: &str = "promotion";
-/// What stands before the group and the node in the key of a node's yield.
+/// The prefix of the key under which a node's release is stored, before the group and the node.
 const RELEASE_PREFIX: &str = "yield/";
-/// Rows that one transaction removes; the store takes 100 entries at most.
+/// How many rows one transaction removes. The store accepts at most 100 entries.
 const MAX_REMOVED_PER_TRANSACTION: usize = 50;
-/// How long one call may take.
+/// How long one call to the store may take.
 const STORE_CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The holder's row as it was read.
+/// The promotion lease's row as it was last read.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct KnownPromotionLease {
-    /// The row; none if there is none.
+    /// The row; `None` if it is absent or cannot be decoded.
     pub row: Option<PromotionLeaseRow>,
-    /// Its version; number 0 of the store's era if there is none.
+    /// The version of the row; number 0 of the store's era if the row is absent.
     pub version: StoreVersion,
 }
 
-/// A node that told the store that it has yielded.
+/// A node's report to the store that it has released its leader lease for a succession.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredRelease {
-    /// The group.
+    /// The name of the group.
     pub group: String,
-    /// The node.
+    /// The name of the node.
     pub node: String,
-    /// The token of the succession that it has yielded to.
+    /// The token of the succession.
     pub token: u64,
 }
 
-/// What the store says of the duty.
+/// The rows of the promotion lease in the store.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct PromotionLeaseState {
-    /// The holder.
+    /// The row of the lease's holder.
     pub lease: KnownPromotionLease,
-    /// The nodes that have yielded by way of the store.
+    /// The releases that nodes have reported through the store.
     pub releases: Vec<StoredRelease>,
 }
 
-/// A decision that stands in the store.
+/// A decision that is stored.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Decision {
-    /// The group's new lead, and the decision's token.
+    /// The successor and the fencing token of the decision.
     pub succession: Succession,
     /// The version of the succession's row.
     pub version: StoreVersion,
     /// When the decision was sent to the store.
     pub sent_at: Timestamp,
-    /// When the store had acknowledged it.
+    /// When the store's acknowledgement arrived.
     pub stored_at: Timestamp,
 }
 
 impl Decision {
-    /// The token under which the successor is ordered to lead.
+    /// The fencing token under which the successor is promoted.
     pub fn token(&self) -> FencingToken {
         FencingToken(self.succession.token)
     }
 }
 
-/// Reads the rows of the duty; none if the store does not answer.
+/// Reads the rows of the promotion lease. `None` if the store does not answer in time, or if its
+/// answer belongs to an era that this node does not accept.
 pub async fn read_promotion_lease(context: &Context) -> Option<PromotionLeaseState> {
     let read = timeout(
         STORE_CALL_TIMEOUT,
@@ -121,7 +123,8 @@
     format!("{RELEASE_PREFIX}{group}/{node}")
 }
 
-/// Tells the store that this node has yielded to a succession; false if the store does not answer.
+/// Reports to the store that this node has released its leader lease for a succession. Returns
+/// false if the store does not confirm it.
 pub async fn store_release(context: &Context, group: &Group, token: u64) -> bool {
     let write = own_release(context, group, token);
     commit(context, Vec::new(), vec![write]).await.is_some()
@@ -135,7 +138,7 @@
     }
 }
 
-/// Removes the yields to a decision that is over.
+/// Removes the releases of a decision that is complete.
 pub async fn remove_releases(context: &Context, releases: &[StoredRelease]) {
     let writes = releases.iter().map(|release| Write::Remove {
         table: Table::Duty,
@@ -143,16 +146,17 @@
     });
     let writes: Vec<Write> = writes.collect();
     for writes in writes.chunks(MAX_REMOVED_PER_TRANSACTION) {
-        // What is left is replaced when the node yields again.
+        // Rows that remain after a failure are overwritten by the node's next release.
         commit(context, Vec::new(), writes.to_vec()).await;
     }
 }
 
-/// Stores the decision that a server takes over its group, under the next token, if the holder's
-/// row has not changed since it was read.
+/// Stores the decision that a server takes over its group, under the next fencing token, on the
+/// condition that the lease's row has not changed since it was read. `deposed` is the primary that
+/// steps down and stays in service.
 ///
-/// None if it has, or if the store does not tell; the row is then to be read again, since a call
-/// without an answer may be carried out later.
+/// Returns `None` if the row has changed or the outcome is unknown. The row must then be read
+/// again, since a call without an answer may still be executed later.
 pub async fn store_decision(
     context: &Context,
     known: &KnownPromotionLease,
@@ -200,8 +204,9 @@
     })
 }
 
-/// Notes in the store that the successor of a decision was ordered to lead, so that nobody waits for
-/// what the deposed primary holds any more. If that fails, a later decision may wait needlessly.
+/// Records in the store that the successor of a decision was promoted, so that later decisions no
+/// longer wait for what the deposed primary holds. If that fails, a later decision may wait
+/// needlessly.
 pub async fn record_promotion(context: &Context, group: &Group, decision: &Decision) {
     let key = succession_key(&group.name);
     let condition = Condition {
@@ -221,8 +226,8 @@
     commit(context, vec![condition], vec![write]).await;
 }
 
-/// Stores a succession again that the store has lost, in the place of the row of a version. Another
-/// node may be faster, or a newer decision: then nothing is written.
+/// Writes a succession again that the store has lost. `known` is the version that its row must
+/// still have. Writes nothing if another node was faster or if a newer decision exists.
 pub async fn restore_succession(
     context: Arc<Context>,
     group: Arc<Group>,
@@ -255,7 +260,8 @@
     }
 }
 
-/// Whether a decision is still its group's newest; none if the store does not tell.
+/// Whether a decision is still the newest of its group; `None` if the store does not answer. Also
+/// stores this node's own release.
 pub async fn confirm_decision(
     context: &Context,
     group: &Group,
@@ -273,7 +279,8 @@
     }
 }
 
-/// Makes a transaction; its version, or none if it was not made or the store does not tell.
+/// Commits a transaction and returns its version; `None` if it was not committed or the outcome is
+/// unknown.
 async fn commit(
     context: &Context,
     conditions: Vec<Condition>,
--- a/crates/spurpier-pipeline/src/promotion/messages.rs
+++ b/crates/spurpier-pipeline/src/promotion/messages.rs
@@ -1,4 +1,4 @@
-//! What nodes say to each other, over UDP.
+//! The messages that nodes exchange over UDP. Fields are decoded by position.
 
 use std::time::Duration;
 
@@ -8,90 +8,92 @@
 use spurpier_core::store_version::StoreVersion;
 use spurpier_core::wire::{List, LongText, decode_text, encode_text};
 
-/// Says that no proof of lead is known.
+/// The encoded age if no leadership proof is known.
 const UNKNOWN_AGE: u32 = u32::MAX;
 
 /// A message from one node to another.
 #[derive(Debug, Clone, PartialEq, Eq, SerBin, DeBin)]
 pub enum PeerMessage {
-    /// Asks what the receiver sees of a group's primary.
+    /// Asks what the receiver observes of a group's primary.
     AskPrimaryObservation {
-        /// The question's number at the sender.
+        /// The sender's identifier of the request.
         request_id: u64,
-        /// The group.
+        /// The name of the group.
         group: String,
     },
     /// Answers `AskPrimaryObservation`.
     PrimaryObservation {
-        /// The question's number.
+        /// The identifier of the request.
         request_id: u64,
-        /// How long ago the message left that proved the lead last, in milliseconds; the
-        /// greatest number if none is known.
+        /// The age in milliseconds of the newest leadership proof, from when its request was sent;
+        /// the greatest number if there is none.
         proof_age_ms: u32,
-        /// The position that it showed.
+        /// The position that the proof showed.
         position: Position,
     },
-    /// Tells the holder of the duty that a group needs a decision.
+    /// Tells the holder of the promotion lease that a group needs a decision.
     AskDecision {
-        /// The question's number at the sender.
+        /// The sender's identifier of the request.
         request_id: u64,
-        /// The group.
+        /// The name of the group.
         group: String,
-        /// The region that its primary is to move to; none if it is to be replaced for another
+        /// The region that the primary is to move to; `None` if it is to be replaced for another
         /// reason.
         region: Option<String>,
     },
-    /// Asks the receiver to use no other server than the successor as a group's lead.
+    /// Asks the receiver to release its leader lease for the former leader: from then on it uses no
+    /// server but the successor as the group's leader.
     AskLeaseRelease {
-        /// The question's number.
+        /// The sender's identifier of the request.
         request_id: u64,
-        /// The group.
+        /// The name of the group.
         group: String,
-        /// The succession.
+        /// The token and the successor of the decision.
         succession: NamedSuccession,
-        /// The version of its row.
+        /// The version of the succession's row.
         version: StoreVersion,
-        /// What else is told of the successor.
+        /// The remaining fields of the succession.
         details: SuccessorDetails,
     },
     /// Answers `AskLeaseRelease`.
     LeaseReleased {
-        /// The question's number.
+        /// The identifier of the request.
         request_id: u64,
-        /// The token of the newest succession that the sender of the answer has yielded to.
+        /// The token of the newest succession for which the answering node has released its lease.
         token: u64,
     },
     /// Asks whether the receiver runs and can be reached.
     Ping {
-        /// The question's number.
+        /// The sender's identifier of the request.
         request_id: u64,
     },
     /// Answers `Ping`.
     Pong {
-        /// The question's number.
+        /// The identifier of the request.
         request_id: u64,
     },
-    /// Answers `AskDecision`: the receiver of it holds the duty and sees to the group; and `Demand`.
+    /// Answers `AskDecision` if the receiver can hold the promotion lease and has accepted the
+    /// group, and `Demand` if it knows the group.
     Acknowledged {
-        /// The question's number.
+        /// The identifier of the request.
         request_id: u64,
     },
-    /// Tells a home what the sender's clients have asked of a group's primary.
+    /// Reports to a home what the sender's clients have requested of a group's primary.
     Demand {
-        /// The question's number at the sender.
+        /// The sender's identifier of the request.
         request_id: u64,
-        /// The group.
+        /// The name of the group.
         group: String,
-        /// What was asked for since the sender told last.
+        /// What was requested since the sender's last report.
         demand: List<DemandReport>,
     },
 }
 
-/// A succession as messages have always carried it: what came to be told beside these stands at the
-/// message's end.
+/// The part of a succession that is encoded at a fixed index of the message. The remaining fields
+/// follow at the end of the message, which keeps the encoding compatible.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NamedSuccession {
-    /// The token of the decision.
+    /// The fencing token of the decision.
     pub token: u64,
     /// The name of the server that takes over.
     pub successor: String,
@@ -123,23 +125,23 @@
     }
 }
 
-/// Units that may run only in some regions.
+/// A number of units of work that may run only in some regions.
 #[derive(Debug, Clone, PartialEq, Eq, SerBin, DeBin)]
 pub struct DemandReport {
-    /// The regions.
+    /// The names of the regions.
     pub regions: List<LongText>,
-    /// How many units were asked for.
+    /// How many units of work were requested.
     pub units: u32,
 }
 
-/// A time as a message carries it.
+/// Encodes an age in milliseconds; `None` becomes the greatest number.
 pub fn encode_age(age: Option<Duration>) -> u32 {
     age.map_or(UNKNOWN_AGE, |age| {
         u32::try_from(age.as_millis()).unwrap_or(UNKNOWN_AGE - 1)
     })
 }
 
-/// The time that a message carries.
+/// Decodes an age in milliseconds; the greatest number becomes `None`.
 pub fn decode_age(millis: u32) -> Option<Duration> {
     (millis != UNKNOWN_AGE).then(|| Duration::from_millis(u64::from(millis)))
 }
--- a/crates/spurpier-pipeline/src/promotion/mod.rs
+++ b/crates/spurpier-pipeline/src/promotion/mod.rs
@@ -1,5 +1,9 @@
-//! Replacing a primary that is lost, leaves, stands in an evacuated zone or where much of its work
-//! may not run: seeing it, agreeing on it, and ordering it.
+//! Promotions: replaces a primary that is lost, is leaving, is in an evacuated zone, or is in a
+//! region where much of its work may not run.
+//!
+//! A node that misses a primary compares its view with the other nodes. The holder of the promotion
+//! lease then stores a decision under a new fencing token, waits until the other nodes have
+//! released their leader leases, and promotes the successor.
 
 mod demand;
 mod evacuation;
--- a/crates/spurpier-pipeline/src/promotion/peers.rs
+++ b/crates/spurpier-pipeline/src/promotion/peers.rs
@@ -1,4 +1,4 @@
-//! Questions to other nodes and the answers to theirs, over UDP.
+//! Requests to other nodes and answers to theirs, over UDP.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,35 +19,36 @@
 use crate::group::Group;
 use crate::unit::renew_proof;
 
-/// The greatest datagram that is taken, in bytes.
+/// The greatest datagram that is sent or received.
 pub(super) const MAX_DATAGRAM_BYTES: usize = 1_200;
-/// A proof younger than this is told without asking the lead again.
+/// A leadership proof younger than this is reported without asking the leader again.
 const MAX_FRESH_PROOF_AGE: Duration = Duration::from_millis(250);
-/// How long a node that is asked may ask the lead.
+/// How long a node that is asked for its observation may wait for the leader.
 const PROOF_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long answers are awaited.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(420);
-/// How often a question is sent within that time: datagrams are lost now and then.
+/// How often a request is sent again within that time, since datagrams may be lost.
 const RESEND_INTERVAL: Duration = Duration::from_millis(140);
-/// How long connecting to a node that does not answer may take.
+/// How long a connection attempt to a node that does not answer may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Answers of one question that may wait to be read.
+/// How many answers to one request may be queued.
 const ANSWER_CAPACITY: usize = 1_024;
 
 type Answers = mpsc::Receiver<(SocketAddr, PeerMessage)>;
 
-/// The way to the other nodes.
+/// The connection to the other nodes.
 pub struct Peers {
     context: Arc<Context>,
     socket: UdpSocket,
     next_request_id: AtomicU64,
     pending: Mutex<HashMap<u64, mpsc::Sender<(SocketAddr, PeerMessage)>>>,
-    /// Groups that other nodes want this node to see to.
+    /// Names of groups for which other nodes request a decision.
     requested_groups: mpsc::Sender<String>,
 }
 
 impl Peers {
-    /// Speaks over a bound socket; groups that others want seen to go to `wanted`.
+    /// Uses a bound socket. Groups for which other nodes request a decision go to
+    /// `requested_groups`.
     pub fn new(
         context: Arc<Context>,
         socket: UdpSocket,
@@ -62,17 +63,17 @@
         })
     }
 
-    /// What this node's tasks share.
+    /// The state that this node's tasks share.
     pub(super) fn context(&self) -> &Context {
         &self.context
     }
 
-    /// Takes messages; never returns.
+    /// Receives and handles messages. Never returns.
     pub async fn receive(self: Arc<Self>) {
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             let Ok((length, from)) = self.socket.recv_from(&mut buffer).await else {
-                // The socket tells that an earlier datagram could not be delivered.
+                // The error reports that an earlier datagram could not be delivered.
                 tokio::task::yield_now().await;
                 continue;
             };
@@ -135,7 +136,7 @@
             | PeerMessage::Pong { request_id } => {
                 let pending = self.pending.lock().unwrap_or_else(PoisonError::into_inner);
                 if let Some(sender) = pending.get(&request_id) {
-                    // An answer beyond the capacity is a repeated one.
+                    // An answer beyond the capacity is a duplicate.
                     let _ = sender.try_send((from, message));
                 }
             }
@@ -153,7 +154,7 @@
         let asked_at = clock.now();
         let fresh_since = asked_at.saturating_sub(MAX_FRESH_PROOF_AGE);
         let until = asked_at + PROOF_TIMEOUT;
-        // Without a proof the older one is told.
+        // If the leader gives no proof, the older one is reported.
         let _ = renew_proof(&self.context, &group, fresh_since, until).await;
         let now = clock.now();
         let proof = group.own_proof();
@@ -167,14 +168,14 @@
     }
 
     async fn send(&self, message: &PeerMessage, to: SocketAddr) {
-        // A datagram that cannot be sent is as good as a lost one.
+        // A datagram that cannot be sent counts as lost.
         let _ = self.socket.send_to(&message.serialize_bin(), to).await;
     }
 
-    /// What the other homes of a group see of its primary, and how many were asked.
+    /// What the other homes of a group observe of its primary, and how many were asked.
     ///
-    /// Their proofs are taken in: what proved the lead to one node holds for all. A home that sees
-    /// the primary becomes this node's way to it.
+    /// Records their proofs: a server that proved its leadership to one node leads for all. Relays
+    /// to the primary go through the first home that observes it.
     pub async fn primary_observations(&self, group: &Group) -> (Vec<PrimaryObservation>, usize) {
         let homes = &self.context.homes_of(&group.name).others;
         let addresses: Vec<SocketAddr> = homes.iter().map(|home| home.address).collect();
@@ -198,7 +199,8 @@
             let last_proof_age = decode_age(*proof_age_ms);
             let observation = PrimaryObservation { last_proof_age };
             if let Some(age) = last_proof_age {
-                // The answer was given after the question was sent.
+                // The answer was created after the request was sent, so this is not later than the
+                // proof.
                 group.note_told_proof(asked_at.saturating_sub(age), *position);
             }
             if relay.is_none() && observation.observes_primary() {
@@ -212,8 +214,8 @@
         (primary_observations, addresses.len())
     }
 
-    /// Whether the holder of the duty answers that it sees to a group, whose primary is to move to
-    /// a region if one is given.
+    /// Asks the holder of the promotion lease for a decision on a group, whose primary is to move
+    /// to `region` if one is given. Returns whether the holder has accepted the request.
     pub async fn ask_for_decision(
         &self,
         holder: &str,
@@ -232,8 +234,9 @@
         }
     }
 
-    /// Whether all other nodes answer that may hold the lease of a group's primary. Those that do not are tried on, and taken
-    /// off the list in the end.
+    /// Whether all other nodes answer that may hold the leader lease of a group. For those that do
+    /// not, connections are attempted in the background; a node that stays unreachable is removed
+    /// from the list of nodes.
     pub async fn reaches_all_lease_holders(&self, group: &Group) -> bool {
         let clock = &self.context.clock;
         let holders = self.context.homes.lease_holders(&group.name, clock.now());
@@ -252,7 +255,7 @@
         answers.len() == addresses.len()
     }
 
-    /// Sends a question until all have answered or the time is over.
+    /// Sends a request again and again until all nodes have answered or the timeout has passed.
     pub async fn request(
         &self,
         request: impl FnOnce(u64) -> PeerMessage,
@@ -293,7 +296,7 @@
     }
 }
 
-/// A question whose answers are awaited; forgotten when dropped.
+/// A request whose answers are awaited. Dropping it discards later answers.
 struct PendingRequest<'a> {
     peers: &'a Peers,
     request_id: u64,
--- a/crates/spurpier-pipeline/src/promotion/round.rs
+++ b/crates/spurpier-pipeline/src/promotion/round.rs
@@ -1,4 +1,5 @@
-//! The round in which all nodes yield to a succession, as the node runs it that has decided.
+//! The round in which all nodes release their leader leases for a succession, as run by the node
+//! that has decided.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -23,22 +24,24 @@
 use crate::membership::succession_key;
 use crate::ports::{Row, Table};
 
-/// How often the store is asked whether a decision is the newest before it is given up.
+/// How often the store is asked whether a decision is the newest before the round is abandoned.
 const MAX_VERIFICATION_ATTEMPTS: usize = 3;
-/// How long the deciding node may take to ask this one before it tells the store by itself.
+/// How long the deciding node may take to contact this node before it reports its release through
+/// the store.
 const STORE_RELEASE_DELAY: Duration = Duration::from_millis(250);
-/// How often this node tells the store that it has yielded, until the store answers.
+/// How often this node tries to report its release to the store until the store answers.
 const MAX_STORE_RELEASE_ATTEMPTS: usize = 8;
-/// How long this node may take to be told the list of nodes as of its decision.
+/// How long this node may take to receive the list of nodes as of its decision.
 const NODE_LIST_TIMEOUT: Duration = Duration::from_secs(3);
-/// How often it is looked whether it has been told.
+/// How often the list's version is checked.
 const NODE_LIST_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// The pause after a look at the store that told nothing new.
+/// The delay before the store is read again.
 const STORE_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// For how long nodes are awaited before their names are logged.
+/// How long a round waits before the names of the pending nodes are logged.
 const PENDING_LOG_DELAY: Duration = Duration::from_millis(600);
 
-/// A decision whose successor may be ordered to lead once all have yielded.
+/// The round of a decision, whose successor may be promoted once all nodes have released their
+/// leases.
 pub struct ReleaseRound<'a> {
     context: &'a Context,
     peers: &'a Peers,
@@ -46,16 +49,17 @@
     decision: &'a Decision,
     round: LeaseReleaseRound,
     holders: Vec<PeerNode>,
-    /// Whether the holders are all that were listed when the decision was stored, or do not matter.
+    /// Whether `holders` contains all nodes that were listed when the decision was stored, or is no
+    /// longer needed.
     holders_complete: bool,
     stored_releases: Vec<StoredRelease>,
     has_logged_pending: bool,
 }
 
 impl<'a> ReleaseRound<'a> {
-    /// The round of a decision that has just been stored.
+    /// Starts the round of a decision that has just been stored.
     ///
-    /// A node that is listed later than the decision was stored reads it before it uses a lead.
+    /// A node that is listed later reads the decision before it uses a leader.
     pub fn new(
         context: &'a Context,
         peers: &'a Peers,
@@ -82,14 +86,15 @@
         }
     }
 
-    /// Takes in that the former primary has stepped down: nobody can use it any more.
+    /// Records that the former primary has stepped down: no node can use it any more.
     pub fn record_step_down(&mut self) {
         self.round.clear_pending();
         self.holders_complete = true;
     }
 
-    /// Waits until the successor may be ordered to lead; the order must leave at once. None if a
-    /// newer decision is known, if the store may have lost this one, or if it does not tell.
+    /// Waits until the successor may be promoted, which must then be requested immediately. Returns
+    /// `None` if a newer decision is known, if the store may have lost this one, or if the store or
+    /// the list of nodes does not become available in time.
     pub async fn wait_until_promotable(&mut self) -> Option<OrderUnderWay<'a>> {
         loop {
             if self.context.era() != self.decision.version.era() {
@@ -110,8 +115,8 @@
         }
     }
 
-    /// Waits until the list of nodes is known as it was when the decision was stored, and takes in
-    /// who is new on it; none if that takes long.
+    /// Waits until this node has the list of nodes as of the decision, and adds the new ones.
+    /// Returns `None` if that takes longer than [`NODE_LIST_TIMEOUT`].
     async fn complete_holders(&mut self) -> Option<()> {
         let context = self.context;
         let limit = self.decision.stored_at + NODE_LIST_TIMEOUT;
@@ -132,7 +137,7 @@
         Some(())
     }
 
-    /// Forgets what nodes have told the store for this round.
+    /// Removes the releases from the store that nodes have reported for this round.
     pub async fn remove_stored_releases(&self) {
         remove_releases(self.context, &self.stored_releases).await;
     }
@@ -179,7 +184,7 @@
         );
     }
 
-    /// Takes in which nodes have told the store that they have yielded.
+    /// Records which nodes have reported their release through the store.
     async fn record_stored_releases(&mut self) {
         if let Some(state) = read_promotion_lease(self.context).await {
             let releases = state.releases.into_iter();
@@ -193,8 +198,8 @@
         tokio::time::sleep(STORE_POLL_INTERVAL).await;
     }
 
-    /// Asks the store whether the decision is still the group's newest; none if it is not, or if
-    /// the store does not tell for long.
+    /// Asks the store whether the decision is still the group's newest. Returns `None` if it is
+    /// not, or if the store does not answer any attempt.
     async fn verify(&mut self) -> Option<()> {
         for _ in 0..MAX_VERIFICATION_ATTEMPTS {
             let asked_at = self.context.clock.now();
@@ -216,8 +221,8 @@
     context.homes.lease_holders(&group.name, now)
 }
 
-/// Takes in a succession that the deciding node has told of, and tells whether this node may say
-/// that it has yielded: not while its own order for the group is under way.
+/// Records a succession that the deciding node has reported, and returns whether this node may
+/// confirm the release of its lease. It may not while its own promotion for the group is in flight.
 pub fn accept_succession(
     context: &Context,
     group: &Group,
@@ -228,7 +233,7 @@
         return false;
     }
     context.take_succession(group, succession);
-    // A node that asks this one for the table, as after a restart, must learn of it too.
+    // A node that requests the table from this one, as after a restart, must receive the row too.
     let row = Row {
         key: succession_key(&group.name),
         value: Bytes::from(succession.serialize_bin()),
@@ -240,8 +245,8 @@
     true
 }
 
-/// Tells the deciding node by way of the store that this node has yielded, unless that one has
-/// asked this one meanwhile or does not wait for it.
+/// Reports through the store that this node has released its lease, unless the deciding node has
+/// contacted it meanwhile or does not wait for it.
 pub async fn report_release_by_store(context: Arc<Context>, group: Arc<Group>, token: u64) {
     for _ in 0..MAX_STORE_RELEASE_ATTEMPTS {
         tokio::time::sleep(STORE_RELEASE_DELAY).await;
--- a/crates/spurpier-pipeline/src/promotion/successor.rs
+++ b/crates/spurpier-pipeline/src/promotion/successor.rs
@@ -1,4 +1,5 @@
-//! Who takes a group over, what the servers must have received before, and the order.
+//! Chooses the successor of a primary, checks what the servers have received, and promotes the
+//! successor.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,13 +19,13 @@
 use crate::server::{ConnectionNeed, Server, Values};
 use crate::unit::{Place, own_attempt};
 
-/// How long a server may take to give a connection for a question.
+/// How long a server may take to provide a connection for a request.
 const CONNECTION_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long a server may take to tell its status.
+/// How long a server may take to report its status.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(400);
-/// How often a status is asked for again.
+/// The delay before a status is requested again.
 const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How long a successor may take to receive what the former primary has.
+/// How long a successor may take to receive what the former primary holds.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// How long the promotion service may take to answer.
 const PROMOTION_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -34,11 +35,12 @@
 pub struct Successor {
     /// The server.
     pub server: Arc<Server>,
-    /// What it had received when it was chosen; the start of the log if that is not known.
+    /// The position that it had received when it was chosen; the start of the log if that is
+    /// unknown.
     pub received: Position,
 }
 
-/// A server and what it told.
+/// A server and its status; the status is `None` if the server did not answer.
 struct ServerReport {
     server: Arc<Server>,
     status: Option<ServerStatus>,
@@ -67,7 +69,7 @@
     }
 }
 
-/// Asks one server; none if it does not tell.
+/// Sends a request to one server. Returns `None` if it does not report its status.
 async fn send_request(
     context: &Context,
     server: &Arc<Server>,
@@ -85,10 +87,10 @@
     context.server_dialect.read_status(&answered.answer)
 }
 
-/// Asks all servers but the former primary at the same time.
+/// Sends a request to all servers but the former primary, concurrently.
 ///
-/// Where commits wait for replicas, those that have just left the directory are asked as well:
-/// they may hold what was acknowledged.
+/// Where commits wait for replicas, servers that have just left the directory are included: they
+/// may hold acknowledged commits.
 async fn ask_replicas(
     context: &Context,
     group: &Group,
@@ -120,22 +122,22 @@
         })
         .collect();
     let chosen = choose_successor(&candidates, group.synchronous_replicas())?;
-    // A server that tells nothing may not even run.
+    // A server that does not answer may not be running.
     reports[chosen].status.as_ref()?;
     Some(reports[chosen].as_successor())
 }
 
-/// The server that is to take over from a primary that is lost; none if there is none yet.
+/// The server that is to take over from a lost primary; `None` if there is none yet.
 ///
-/// A server that leads already, by an order that was carried out late or whose answer was lost,
-/// goes before all others.
+/// A server that leads already takes precedence. Its promotion was executed late, or the answer was
+/// lost.
 pub async fn find_successor(
     context: &Context,
     group: &Group,
     former: Option<&Server>,
 ) -> Option<Successor> {
     let reports = ask_replicas(context, group, former, ServerRequest::Status).await;
-    // One that lacks what it has shown as the lead has started again without its log.
+    // A server that lacks what it held as the leader has restarted without its log.
     let leading = reports
         .iter()
         .filter(|report| report.leads() && !group.has_lost_log(&report.server, report.received()));
@@ -146,9 +148,9 @@
     }
 }
 
-/// Makes sure, where commits wait for replicas, that the chosen successor of a lost primary holds
-/// all that was acknowledged: the replicas are paused, so that the former primary acknowledges
-/// nothing more, and asked again.
+/// Whether the chosen successor of a lost primary holds everything that was acknowledged. Where
+/// commits wait for replicas, the replicas are paused first, so that the former primary can
+/// acknowledge nothing more, and their status is then requested again.
 pub async fn holds_all_acknowledged(
     context: &Context,
     group: &Group,
@@ -176,19 +178,20 @@
     holds_all_acknowledged
 }
 
-/// Lets the replicas receive again that were paused for a decision.
+/// Resumes replication on the replicas that were paused for a decision.
 ///
-/// An order that changes nothing, since the successor leads already, resumes nobody.
+/// Needed also after a promotion: one that changes nothing, since the successor leads already, does
+/// not resume them.
 pub async fn resume(context: &Context, group: &Group, former: Option<&Server>) {
     if group.synchronous_replicas() > 0 {
         ask_replicas(context, group, former, ServerRequest::Resume).await;
     }
 }
 
-/// The server that is to take over from a primary that leaves; none if there is none yet, or if
-/// the former primary does not lead any more: another node's decision was faster.
+/// The server that is to take over from a leaving or evacuated primary. `None` if there is none
+/// yet, or if the former primary no longer leads because another node's decision was faster.
 ///
-/// With synchronous replicas it surely holds what was acknowledged so far.
+/// With synchronous replicas the server holds everything that has been acknowledged so far.
 pub async fn find_handover_successor(
     context: &Context,
     group: &Group,
@@ -201,11 +204,11 @@
     (!is_replica).then_some(successor)
 }
 
-/// The server that is to take over in a region from a primary that serves: the one there that has
-/// received most, if it receives all that the primary had just now. None if there is none.
+/// The server in a region that is to take over from a primary in service: the one that has received
+/// most, if it also receives all that the primary holds at this moment. `None` if there is none.
 ///
-/// Nothing is lost while the primary goes on, so that a replica that is far behind is not waited
-/// for in vain.
+/// The primary serves in the meantime and nothing is lost. A replica that is far behind is
+/// therefore not waited for beyond [`CATCH_UP_TIMEOUT`].
 pub async fn find_successor_in_region(
     context: &Context,
     group: &Group,
@@ -235,18 +238,19 @@
     })
 }
 
-/// What became of a primary that was told to step down.
+/// The outcome of a request to a primary to step down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StepDownOutcome {
-    /// It has, with this position, and the heir has received that.
+    /// It stepped down at this position, which the successor has received.
     SuccessorCaughtUp(Position),
-    /// It has, with this position; the heir lacks some of it.
+    /// It stepped down at this position, which the successor has not received.
     SuccessorBehind(Position),
-    /// It did not say so.
+    /// It did not confirm that it stepped down.
     Unknown,
 }
 
-/// Makes a leaving primary a replica and lets its heir receive the rest.
+/// Turns the former primary into a replica and waits until its successor has received the rest of
+/// the log.
 pub async fn step_down(
     context: &Context,
     group: &Group,
@@ -270,12 +274,13 @@
     reports.iter().map(ServerReport::term).max().unwrap_or(0)
 }
 
-/// What a server tells of itself; none if it does not.
+/// The status that a server reports; `None` if it does not answer.
 pub async fn status_of(context: &Context, server: &Arc<Server>) -> Option<ServerStatus> {
     send_request(context, server, ServerRequest::Status).await
 }
 
-/// Waits until a server has received a position, for a while; tells whether it has.
+/// Waits until a server has received a position, for at most `maximum_wait`. Returns whether it
+/// has.
 pub async fn await_position(
     context: &Context,
     server: &Arc<Server>,
@@ -294,8 +299,8 @@
     timeout(maximum_wait, waiting).await.is_ok()
 }
 
-/// Orders a server to lead, unless it has started again since it was chosen: the order names the
-/// server and not its life, and the present life may lack what the chosen one held.
+/// Promotes a server, unless it has restarted since it was chosen. The promotion names the server
+/// and not its incarnation, and the present incarnation may lack what the chosen one held.
 pub async fn promote(
     context: &Context,
     group: &Group,
--- a/crates/spurpier-pipeline/src/promotion/watch.rs
+++ b/crates/spurpier-pipeline/src/promotion/watch.rs
@@ -1,4 +1,4 @@
-//! Looking after the groups' primaries.
+//! Monitors the primaries of the groups and starts their replacement.
 
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -26,20 +26,20 @@
 use crate::server::Server;
 use crate::unit::{NotRun, renew_proof};
 
-/// How often the groups are looked at.
+/// How often the groups are checked.
 const WATCH_INTERVAL: Duration = Duration::from_millis(150);
-/// How long the lead may take to prove itself to the watch.
+/// How long the leader may take to prove its leadership to the watch.
 const PROOF_TIMEOUT: Duration = Duration::from_millis(350);
-/// For how long all proofs must have failed before others are asked.
+/// How long all proofs must have failed before other nodes are asked.
 const FAILURE_TIMEOUT: Duration = Duration::from_millis(200);
-/// The pause between two looks of a case.
+/// The delay between two assessments of a group.
 const TASK_INTERVAL: Duration = Duration::from_millis(120);
-/// The pause after a decision that found no successor.
+/// The delay after a decision that found no successor.
 pub(super) const UNDECIDED_DELAY: Duration = Duration::from_millis(400);
-/// How long a new primary may take to lead after its order was taken.
+/// How long a new primary may take to lead after its promotion was accepted.
 const TAKEOVER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Looks after all groups; never returns.
+/// Monitors all groups. Never returns.
 pub async fn watch_groups(
     context: Arc<Context>,
     peers: Arc<Peers>,
@@ -47,7 +47,7 @@
 ) {
     let tasks = Arc::new(ActiveTasks::default());
     loop {
-        // A group that another node wants seen to is looked at at once.
+        // A group for which another node requests a decision is assessed immediately.
         if let Ok(Some(name)) = timeout(WATCH_INTERVAL, requested_groups.recv()).await {
             let group = context.group(&name);
             tasks.start(&context, &peers, group);
@@ -61,7 +61,7 @@
     }
 }
 
-/// Whether a group that this node looks after, and does not see to already, may need a new primary.
+/// Whether a group that this node monitors may need a new primary; false if a task runs for it.
 fn is_in_doubt(context: &Context, group: &Group) -> bool {
     if group.is_attended() {
         return false;
@@ -76,7 +76,7 @@
     leader.health().silences > 0
 }
 
-/// The groups that are being seen to.
+/// The names of the groups for which a task runs.
 #[derive(Default)]
 struct ActiveTasks(Mutex<HashSet<String>>);
 
@@ -109,29 +109,29 @@
     }
 }
 
-/// What a group needs.
+/// The action that a group needs.
 enum RequiredAction {
-    /// Nothing.
+    /// None; the task ends.
     Nothing,
-    /// More looks.
+    /// Another assessment after [`TASK_INTERVAL`].
     Wait,
-    /// A successor of a primary that serves and is to be replaced.
+    /// Replacement of a primary that is in service.
     HandOver(Arc<Server>, MoveReason),
-    /// A successor of a primary that is lost.
+    /// Replacement of a lost primary, if one is known.
     Replace(Option<Arc<Server>>),
 }
 
-/// One group that may need a new primary.
+/// The task of a group that may need a new primary.
 pub(super) struct PromotionTask {
     pub(super) context: Arc<Context>,
     pub(super) peers: Arc<Peers>,
     pub(super) group: Arc<Group>,
     missing_since: Option<Timestamp>,
-    /// The duty as it was read, and what is known of its holder since.
+    /// The promotion lease as it was read, and whether its holder has answered since.
     known_lease: Option<(KnownPromotionLease, HolderStatus)>,
-    /// That a primary of an evacuated zone has stepped down.
+    /// The step-down of a primary in an evacuated zone.
     pub(super) step_down: Option<KnownStepDown>,
-    /// When the look began that told what the group needs.
+    /// When the latest assessment started.
     assessed_at: Timestamp,
 }
 
@@ -155,7 +155,7 @@
         let started_at = clock.now();
         self.assessed_at = started_at;
         if !self.context.holds_lease(&self.group) {
-            // That the lead cannot be used says nothing of it.
+            // Without the lease the leader cannot be used, which is no evidence that it is lost.
             self.missing_since = None;
             return RequiredAction::Wait;
         }
@@ -176,7 +176,7 @@
             && let Some(barred) = self.candidate()
             && !is_lost(&barred)
         {
-            // That nothing may be sent to it says nothing of it.
+            // Nothing may be sent to the server, which is no evidence that it is lost.
             self.missing_since = None;
             return RequiredAction::Wait;
         }
@@ -188,8 +188,8 @@
             Err(NotRun::NoConnection | NotRun::Barred(Bar::Cold(_)))
         );
         if is_load && !leader.is_some_and(|leader| leader.health().is_silent()) {
-            // All connections are at work, or a cold primary takes no more for now: that tells of
-            // load, not of a lost primary.
+            // All connections are busy, or a cold primary accepts no more requests for now. That
+            // indicates load, not a lost primary.
             return RequiredAction::Wait;
         }
         let missing_since = *self.missing_since.get_or_insert(started_at);
@@ -229,7 +229,7 @@
         }
     }
 
-    /// What the group of a primary that serves needs.
+    /// The action that a group needs whose primary is in service.
     fn action_for_serving_primary(&self, leader: Arc<Server>) -> RequiredAction {
         let now = self.context.clock.now();
         let places = &self.context.places;
@@ -242,7 +242,7 @@
         }
     }
 
-    /// The server that leads, or that says so, as far as is known.
+    /// The server that is known to lead, or else the one that claims to in the directory.
     fn claimant(&self) -> Option<Arc<Server>> {
         self.group.lead().or_else(|| {
             let servers = self.group.servers().into_iter();
@@ -251,7 +251,8 @@
         })
     }
 
-    /// Decides if this node holds the duty or must take it over; otherwise tells its holder.
+    /// Decides if this node holds the promotion lease or must take it over. Otherwise asks its
+    /// holder.
     async fn decide_or_ask_holder(
         &mut self,
         former: Option<Arc<Server>>,
@@ -296,11 +297,11 @@
     /// Replaces a lost primary, once no node can use it any more.
     async fn replace(&mut self, lease: &KnownPromotionLease, former: Option<Arc<Server>>) {
         let (context, group) = (Arc::clone(&self.context), Arc::clone(&self.group));
-        // A successor that has started again may hold more than any other: it is a candidate.
+        // A restarted successor may hold more than any other server, so it stays a candidate.
         let former = former.filter(|former| !group.is_restarted_successor(&former.incarnation));
         let successor = find_successor(&context, &group, former.as_deref()).await;
         let Some(successor) = successor else {
-            // Each look costs calls to the servers.
+            // Each search queries all servers.
             tokio::time::sleep(UNDECIDED_DELAY).await;
             return;
         };
@@ -333,11 +334,11 @@
         round.remove_stored_releases().await;
     }
 
-    /// Stores the decision that a server takes over; from then on this node uses no other. A primary
-    /// that is deposed and lives on is named with it.
+    /// Stores the decision that a server takes over. From then on this node uses no other server.
+    /// The decision names the deposed primary if it stays in service.
     ///
-    /// Only a node that is registered for the group decides, and it stays registered while its case
-    /// is open: a newer decision waits for it, and so for its order.
+    /// Only a node that is registered for the group decides, and it stays registered while its task
+    /// runs. A newer decision thus waits for this node, and so for its promotion.
     pub(super) async fn decide(
         &mut self,
         lease: &KnownPromotionLease,
@@ -363,19 +364,19 @@
         answer: &Result<PromotionAnswer, StoreError>,
         former: Option<&Server>,
     ) {
-        // An order without an answer may be carried out all the same.
+        // A promotion without an answer may be executed nevertheless.
         if !matches!(answer, Ok(PromotionAnswer::Refused)) {
             self.await_takeover(former).await;
         }
     }
 
-    /// Whether a lead was proved since the look that found none.
+    /// Whether a server has proved its leadership since the assessment that found no leader.
     fn has_leader_again(&self) -> bool {
         let proven_at = self.group.proven_at();
         proven_at.is_some_and(|proven| proven >= self.assessed_at)
     }
 
-    /// Waits until another server than the former primary has proved the lead.
+    /// Waits until a server other than the former primary has proved its leadership.
     async fn await_takeover(&mut self, former: Option<&Server>) {
         let former = former.map(|server| server.incarnation.clone());
         let waiting = async {
@@ -390,7 +391,7 @@
                 tokio::time::sleep(TASK_INTERVAL / 2).await;
             }
         };
-        // If the time passes, the case looks at the group anew.
+        // After the timeout the task assesses the group again.
         let _ = timeout(TAKEOVER_TIMEOUT, waiting).await;
     }
 }
