--- a/crates/spurpier-pipeline/src/promotion/lease.rs
+++ b/crates/spurpier-pipeline/src/promotion/lease.rs
@@ -82,8 +82,8 @@
     }
 }
 
-/// Reads the rows of the promotion lease. `None` if the store does not answer in time, or if its
-/// answer belongs to an era that this node does not accept.
+/// Reads the rows of the promotion lease. `None` if the store does not answer in time, or if this
+/// node knows a later era of the store than the answer's.
 pub async fn read_promotion_lease(context: &Context) -> Option<PromotionLeaseState> {
     let read = timeout(
         STORE_CALL_TIMEOUT,
@@ -138,7 +138,7 @@
     }
 }
 
-/// Removes the releases of a decision that is complete.
+/// Removes the releases of a decision whose round has ended.
 pub async fn remove_releases(context: &Context, releases: &[StoredRelease]) {
     let writes = releases.iter().map(|release| Write::Remove {
         table: Table::Duty,
--- a/crates/spurpier-pipeline/src/promotion/messages.rs
+++ b/crates/spurpier-pipeline/src/promotion/messages.rs
@@ -31,7 +31,7 @@
         /// The position that the proof showed.
         position: Position,
     },
-    /// Tells the holder of the promotion lease that a group needs a decision.
+    /// Asks the holder of the promotion lease for a decision on a group.
     AskDecision {
         /// The sender's identifier of the request.
         request_id: u64,
--- a/crates/spurpier-pipeline/src/promotion/peers.rs
+++ b/crates/spurpier-pipeline/src/promotion/peers.rs
@@ -19,7 +19,7 @@
 use crate::group::Group;
 use crate::unit::renew_proof;
 
-/// The greatest datagram that is sent or received.
+/// The greatest datagram that is received. Reports of demand are cut to fit into it.
 pub(super) const MAX_DATAGRAM_BYTES: usize = 1_200;
 /// A leadership proof younger than this is reported without asking the leader again.
 const MAX_FRESH_PROOF_AGE: Duration = Duration::from_millis(250);
