--- a/crates/spurpier-core/benches/decisions.rs
+++ b/crates/spurpier-core/benches/decisions.rs
@@ -7,7 +7,7 @@
 use criterion::{Criterion, criterion_group, criterion_main};
 use spurpier_core::group::{GroupView, ObservedStatus, ServerRole, ServerStatus, ServerView};
 use spurpier_core::identity::{DatabaseName, ServerName, ZoneName};
-use spurpier_core::policy::{PolicyInForce, RequestFacts, StatementKind};
+use spurpier_core::policy::{PolicyInForce, RequestAttributes, StatementKind};
 use spurpier_core::position::Position;
 use spurpier_core::routing::{ReadDemand, ServerLoad, route_read, route_write};
 use spurpier_core::statement::ClassificationCache;
@@ -52,7 +52,7 @@
 fn decide(criterion: &mut Criterion) {
     let database = DatabaseName::from("members");
     let policy = PolicyInForce::initial(std::slice::from_ref(&database));
-    let facts = RequestFacts {
+    let facts = RequestAttributes {
         database,
         user: "shop".to_owned(),
         statement: StatementKind::Read,
--- a/crates/spurpier-core/src/control/message.rs
+++ b/crates/spurpier-core/src/control/message.rs
@@ -2,8 +2,8 @@
 
 use nanoserde::{DeBin, SerBin};
 
+use crate::distribution::DistributionMessage;
 use crate::membership::{MembershipMessage, NodeKey};
-use crate::spread::SpreadMessage;
 
 /// A control message from one node to another.
 #[derive(Debug, Clone, PartialEq, Eq, SerBin, DeBin)]
@@ -22,5 +22,5 @@
     /// A message of the membership protocol.
     Membership(MembershipMessage),
     /// A message of the protocol that distributes the document.
-    Distribution(SpreadMessage),
+    Distribution(DistributionMessage),
 }
--- a/crates/spurpier-core/src/control/node.rs
+++ b/crates/spurpier-core/src/control/node.rs
@@ -9,15 +9,15 @@
 
 use super::machine_list::MachineListSchedule;
 use super::message::{GossipBody, GossipMessage};
+use crate::distribution::{
+    Distribution, DistributionAction, DistributionConfig, DistributionEvent, DistributionMessage,
+    DocumentStore, FetchedChanges, ReadFailure,
+};
 use crate::homes::{rendezvous_score, subject_digest};
 use crate::membership::{
     Destination, ListedMachine, MemberChange, MemberIdentity, Membership, MembershipAction,
     MembershipConfig, MembershipEvent, NodeKey, Transport,
 };
-use crate::spread::{
-    DocumentStore, FetchedChanges, ReadFailure, Spread, SpreadAction, SpreadEvent, SpreadMessage,
-    SpreadTuning,
-};
 use crate::time::Timestamp;
 
 /// Configuration of all control protocols.
@@ -26,7 +26,7 @@
     /// Configuration of the membership protocol.
     pub membership: Arc<MembershipConfig>,
     /// Configuration of the distribution of the document.
-    pub distribution: Arc<SpreadTuning>,
+    pub distribution: Arc<DistributionConfig>,
     /// The minimum interval between two reads of the machine list by one watcher.
     pub machine_list_interval: Duration,
     /// The interval between two such reads per member of the cluster, if that is longer in total.
@@ -110,7 +110,7 @@
 #[derive(Debug, Clone)]
 pub struct ControlNode<S> {
     membership: Membership,
-    distribution: Spread<S>,
+    distribution: Distribution<S>,
     machine_list: MachineListSchedule,
     random: SmallRng,
     watching: bool,
@@ -143,7 +143,7 @@
             config.membership.clone(),
             random.random(),
         );
-        let distribution = Spread::new(store, config.distribution.clone(), random.random());
+        let distribution = Distribution::new(store, config.distribution.clone(), random.random());
         let machine_list = MachineListSchedule::new(
             now,
             config.first_machine_list_max_delay,
@@ -183,10 +183,10 @@
             ControlEvent::Received { from, message } => self.handle_message(now, from, message),
             ControlEvent::MachineListRead(answer) => self.handle_machine_list(now, answer),
             ControlEvent::HeadRead(answer) => {
-                self.drive_distribution(now, SpreadEvent::HeadRead(answer))
+                self.drive_distribution(now, DistributionEvent::HeadRead(answer))
             }
             ControlEvent::ChangesFetched(answer) => {
-                self.drive_distribution(now, SpreadEvent::ChangesFetched(answer));
+                self.drive_distribution(now, DistributionEvent::ChangesFetched(answer));
             }
             ControlEvent::Leave => self.drive_membership(now, MembershipEvent::Leave),
             ControlEvent::Stop => self.drive_membership(now, MembershipEvent::Stop),
@@ -208,7 +208,7 @@
     }
 
     /// Returns the distribution state machine, with the document and its version.
-    pub fn distribution(&self) -> &Spread<S> {
+    pub fn distribution(&self) -> &Distribution<S> {
         &self.distribution
     }
 
@@ -224,7 +224,7 @@
 
     fn tick(&mut self, now: Timestamp) {
         self.drive_membership(now, MembershipEvent::Tick);
-        self.drive_distribution(now, SpreadEvent::Tick);
+        self.drive_distribution(now, DistributionEvent::Tick);
         self.read_machine_list(now);
     }
 
@@ -269,7 +269,7 @@
                 self.drive_membership(now, event);
             }
             GossipBody::Distribution(message) => {
-                self.drive_distribution(now, SpreadEvent::Received { sender, message });
+                self.drive_distribution(now, DistributionEvent::Received { sender, message });
             }
         }
         let unreachable = self.membership.member(sender).is_some_and(|member| {
@@ -280,7 +280,7 @@
         });
         if version > self.distribution.version() && !unreachable {
             let peer = sender;
-            self.drive_distribution(now, SpreadEvent::PeerVersion { peer, version });
+            self.drive_distribution(now, DistributionEvent::PeerVersion { peer, version });
         }
     }
 
@@ -305,15 +305,15 @@
         }
     }
 
-    fn drive_distribution(&mut self, now: Timestamp, event: SpreadEvent) {
+    fn drive_distribution(&mut self, now: Timestamp, event: DistributionEvent) {
         for action in self.distribution.handle(now, event) {
             match action {
-                SpreadAction::Send {
+                DistributionAction::Send {
                     to,
                     message,
                     transport,
                 } => self.send_distribution(to, message, transport),
-                SpreadAction::Push {
+                DistributionAction::Push {
                     own_zone,
                     other_zones,
                     message,
@@ -324,19 +324,24 @@
                         self.send(to, GossipBody::Distribution(message.clone()));
                     }
                 }
-                SpreadAction::ReadHead => self.actions.push(ControlAction::ReadHead),
-                SpreadAction::FetchChanges { since, head } => {
+                DistributionAction::ReadHead => self.actions.push(ControlAction::ReadHead),
+                DistributionAction::FetchChanges { since, head } => {
                     self.actions
                         .push(ControlAction::FetchChanges { since, head });
                 }
-                SpreadAction::Installed { version } => {
+                DistributionAction::Installed { version } => {
                     self.actions.push(ControlAction::Installed { version });
                 }
             }
         }
     }
 
-    fn send_distribution(&mut self, to: NodeKey, message: SpreadMessage, transport: Transport) {
+    fn send_distribution(
+        &mut self,
+        to: NodeKey,
+        message: DistributionMessage,
+        transport: Transport,
+    ) {
         let Some(member) = self.membership.member(to) else {
             return;
         };
@@ -385,7 +390,7 @@
             .take(self.watchers_per_zone)
             .count();
         self.watching = !leaving && higher_ranked < self.watchers_per_zone;
-        let event = SpreadEvent::Watching(self.watching);
+        let event = DistributionEvent::Watching(self.watching);
         self.drive_distribution(now, event);
     }
 }
--- a/crates/spurpier-core/src/spread/document.rs
+++ b/crates/spurpier-core/src/distribution/document.rs
@@ -18,7 +18,7 @@
 
 /// A change that deltas can still be made of.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct RememberedChange {
+struct RetainedChange {
     key: Arc<str>,
     changed_in: u64,
 }
@@ -29,9 +29,9 @@
     version: u64,
     digest: u64,
     entries: BTreeMap<Arc<str>, Entry>,
-    recent: VecDeque<RememberedChange>,
+    recent: VecDeque<RetainedChange>,
     /// Changes after this version are all remembered.
-    remembered_since: u64,
+    retained_since: u64,
 }
 
 /// Why a delta or snapshot was not taken.
@@ -86,7 +86,7 @@
     /// # Errors
     ///
     /// Refuses what is not newer, what leaves a gap, and what gives another digest than announced.
-    pub fn apply(&mut self, delta: &Delta, remembered: usize) -> Result<(), ApplyError> {
+    pub fn apply(&mut self, delta: &Delta, retained: usize) -> Result<(), ApplyError> {
         if delta.version <= self.version {
             return Err(ApplyError::NotNewer);
         }
@@ -101,7 +101,7 @@
         }
         self.version = delta.version;
         self.digest = delta.digest;
-        self.forget_changes(remembered);
+        self.trim_changes(retained);
         Ok(())
     }
 
@@ -114,9 +114,9 @@
         if snapshot.version <= self.version {
             return Err(ApplyError::NotNewer);
         }
-        let mut fresh = Document {
+        let mut replacement = Document {
             version: snapshot.version,
-            remembered_since: snapshot.version,
+            retained_since: snapshot.version,
             ..Document::default()
         };
         for change in &snapshot.entries.0 {
@@ -124,31 +124,31 @@
                 value: change.value.clone(),
                 changed_in: change.changed_in,
             };
-            fresh.digest = fresh
+            replacement.digest = replacement
                 .digest
                 .wrapping_add(entry_digest(&change.key, change.value.as_deref()));
-            fresh.entries.insert(change.key.clone(), entry);
+            replacement.entries.insert(change.key.clone(), entry);
         }
-        if fresh.digest != snapshot.digest {
+        if replacement.digest != snapshot.digest {
             return Err(ApplyError::DigestMismatch);
         }
-        *self = fresh;
+        *self = replacement;
         Ok(())
     }
 
     /// The changes after a version; none when they are not all remembered.
     pub fn delta_since(&self, since: u64) -> Option<Delta> {
-        if since < self.remembered_since || since == 0 {
+        if since < self.retained_since || since == 0 {
             return None;
         }
         let mut changes: BTreeMap<&Arc<str>, EntryChange> = BTreeMap::new();
-        for remembered in self.recent.iter().rev() {
-            if remembered.changed_in <= since {
+        for retained in self.recent.iter().rev() {
+            if retained.changed_in <= since {
                 break;
             }
-            if let Some(entry) = self.entries.get(&remembered.key) {
-                let change = entry_change(&remembered.key, entry);
-                changes.insert(&remembered.key, change);
+            if let Some(entry) = self.entries.get(&retained.key) {
+                let change = entry_change(&retained.key, entry);
+                changes.insert(&retained.key, change);
             }
         }
         Some(Delta {
@@ -187,19 +187,22 @@
     /// The bytes that the document holds.
     pub fn memory_bytes(&self) -> usize {
         /// The reference counts in front of a shared text.
-        const COUNTS: usize = 2 * size_of::<usize>();
+        const ARC_COUNTERS_BYTES: usize = 2 * size_of::<usize>();
         /// A B-tree's nodes are filled to two thirds on average.
-        const FILL: (usize, usize) = (3, 2);
-        let place = size_of::<(Arc<str>, Entry)>() * FILL.0 / FILL.1;
+        const BTREE_OVERHEAD: (usize, usize) = (3, 2);
+        let slot_bytes = size_of::<(Arc<str>, Entry)>() * BTREE_OVERHEAD.0 / BTREE_OVERHEAD.1;
         let entries: usize = self
             .entries
             .iter()
             .map(|(key, entry)| {
-                let value = entry.value.as_ref().map_or(0, |value| COUNTS + value.len());
-                place + COUNTS + key.len() + value
+                let value = entry
+                    .value
+                    .as_ref()
+                    .map_or(0, |value| ARC_COUNTERS_BYTES + value.len());
+                slot_bytes + ARC_COUNTERS_BYTES + key.len() + value
             })
             .sum();
-        size_of::<Self>() + entries + self.recent.capacity() * size_of::<RememberedChange>()
+        size_of::<Self>() + entries + self.recent.capacity() * size_of::<RetainedChange>()
     }
 
     fn digest_after(&self, changes: &[EntryChange]) -> u64 {
@@ -228,19 +231,19 @@
             changed_in: change.changed_in,
         };
         self.entries.insert(change.key.clone(), entry);
-        self.recent.push_back(RememberedChange {
+        self.recent.push_back(RetainedChange {
             key: change.key.clone(),
             changed_in: change.changed_in,
         });
     }
 
     /// Forgets the oldest changes, and the removed entries that go with them.
-    fn forget_changes(&mut self, remembered: usize) {
-        while self.recent.len() > remembered {
+    fn trim_changes(&mut self, retained: usize) {
+        while self.recent.len() > retained {
             let Some(oldest) = self.recent.pop_front() else {
                 return;
             };
-            self.remembered_since = self.remembered_since.max(oldest.changed_in);
+            self.retained_since = self.retained_since.max(oldest.changed_in);
             let removed = self.entries.get(&oldest.key).is_some_and(|entry| {
                 entry.value.is_none() && entry.changed_in == oldest.changed_in
             });
@@ -303,7 +306,7 @@
     /// # Errors
     ///
     /// As [`Document::apply`].
-    fn apply(&mut self, delta: &Delta, remembered: usize) -> Result<(), ApplyError>;
+    fn apply(&mut self, delta: &Delta, retained: usize) -> Result<(), ApplyError>;
 
     /// Takes a whole document in place of the present one.
     ///
@@ -322,8 +325,8 @@
         &self.0
     }
 
-    fn apply(&mut self, delta: &Delta, remembered: usize) -> Result<(), ApplyError> {
-        self.0.apply(delta, remembered)
+    fn apply(&mut self, delta: &Delta, retained: usize) -> Result<(), ApplyError> {
+        self.0.apply(delta, retained)
     }
 
     fn replace(&mut self, snapshot: &Snapshot) -> Result<(), ApplyError> {
--- a/crates/spurpier-core/src/spread/machine.rs
+++ b/crates/spurpier-core/src/distribution/machine.rs
@@ -8,8 +8,8 @@
 use rand::{RngExt, SeedableRng};
 
 use super::document::{ApplyError, Document, DocumentStore, difference};
-use super::message::{Delta, FetchedChanges, Snapshot, SpreadMessage};
-use super::settings::SpreadTuning;
+use super::message::{Delta, DistributionMessage, FetchedChanges, Snapshot};
+use super::settings::DistributionConfig;
 use super::watcher::Watcher;
 use crate::membership::{NodeKey, Transport};
 use crate::time::Timestamp;
@@ -23,15 +23,15 @@
 
 /// What happens to the spread of documents on a node.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum SpreadEvent {
-    /// The time of [`Spread::next_deadline`] has come (or any other time).
+pub enum DistributionEvent {
+    /// The time of [`Distribution::next_deadline`] has come (or any other time).
     Tick,
     /// A message arrived.
     Received {
         /// The node that sent it.
         sender: NodeKey,
         /// The message.
-        message: SpreadMessage,
+        message: DistributionMessage,
     },
     /// A peer told its version in some message.
     PeerVersion {
@@ -42,21 +42,21 @@
     },
     /// This node has become a watcher of its zone, or is one no more.
     Watching(bool),
-    /// The answer to [`SpreadAction::ReadHead`]: the version of the head.
+    /// The answer to [`DistributionAction::ReadHead`]: the version of the head.
     HeadRead(Result<u64, ReadFailure>),
-    /// The answer to [`SpreadAction::FetchChanges`].
+    /// The answer to [`DistributionAction::FetchChanges`].
     ChangesFetched(Result<FetchedChanges, ReadFailure>),
 }
 
 /// What the caller has to do.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum SpreadAction {
+pub enum DistributionAction {
     /// Send a message to one peer.
     Send {
         /// The peer.
         to: NodeKey,
         /// The message.
-        message: SpreadMessage,
+        message: DistributionMessage,
         /// How it travels.
         transport: Transport,
     },
@@ -67,14 +67,14 @@
         /// How many in other zones.
         other_zones: usize,
         /// The message.
-        message: SpreadMessage,
+        message: DistributionMessage,
         /// How it travels.
         transport: Transport,
     },
-    /// Read the head from the platform; answer with [`SpreadEvent::HeadRead`] in any case.
+    /// Read the head from the platform; answer with [`DistributionEvent::HeadRead`] in any case.
     ReadHead,
     /// Read the changes after `since` up to the head, or the whole document when there are too
-    /// many; answer with [`SpreadEvent::ChangesFetched`] in any case.
+    /// many; answer with [`DistributionEvent::ChangesFetched`] in any case.
     FetchChanges {
         /// The version that this node has.
         since: u64,
@@ -97,33 +97,33 @@
 
 /// The spread of documents as one node takes part in it.
 #[derive(Debug, Clone)]
-pub struct Spread<S> {
+pub struct Distribution<S> {
     store: S,
-    tuning: Arc<SpreadTuning>,
+    config: Arc<DistributionConfig>,
     random: SmallRng,
     watcher: Watcher,
-    newest_heard: u64,
+    newest_known_version: u64,
     repair: Option<Repair>,
-    repair_wait: Duration,
+    repair_backoff: Duration,
     /// No request for changes leaves before this time.
     repair_not_before: Timestamp,
     /// A delta did not give the announced digest: only a whole document helps.
     needs_snapshot: bool,
-    actions: Vec<SpreadAction>,
+    actions: Vec<DistributionAction>,
 }
 
-impl<S: DocumentStore> Spread<S> {
+impl<S: DocumentStore> Distribution<S> {
     /// A node that holds the document of `store`.
-    pub fn new(store: S, tuning: Arc<SpreadTuning>, seed: u64) -> Self {
-        let repair_wait = tuning.repair_interval;
-        Spread {
+    pub fn new(store: S, config: Arc<DistributionConfig>, seed: u64) -> Self {
+        let repair_backoff = config.repair_interval;
+        Distribution {
             store,
-            tuning,
+            config,
             random: SmallRng::seed_from_u64(seed),
             watcher: Watcher::new(),
-            newest_heard: 0,
+            newest_known_version: 0,
             repair: None,
-            repair_wait,
+            repair_backoff,
             repair_not_before: Timestamp::ZERO,
             needs_snapshot: false,
             actions: Vec::new(),
@@ -145,7 +145,7 @@
         size_of::<Self>() - size_of::<S>() + self.store.document().memory_bytes()
     }
 
-    /// When [`SpreadEvent::Tick`] is due at the latest.
+    /// When [`DistributionEvent::Tick`] is due at the latest.
     pub fn next_deadline(&self) -> Timestamp {
         let repair = self.repair.map(|repair| repair.due);
         let watcher = self.watcher.next_deadline();
@@ -157,46 +157,50 @@
     }
 
     /// Takes an event at time `now` and gives what is to be done.
-    pub fn handle(&mut self, now: Timestamp, event: SpreadEvent) -> Vec<SpreadAction> {
+    pub fn handle(&mut self, now: Timestamp, event: DistributionEvent) -> Vec<DistributionAction> {
         match event {
-            SpreadEvent::Tick => {}
-            SpreadEvent::Received { sender, message } => self.received(now, sender, message),
-            SpreadEvent::PeerVersion { peer, version } => self.heard_of(now, peer, version),
-            SpreadEvent::Watching(active) => {
+            DistributionEvent::Tick => {}
+            DistributionEvent::Received { sender, message } => {
+                self.handle_message(now, sender, message)
+            }
+            DistributionEvent::PeerVersion { peer, version } => {
+                self.record_peer_version(now, peer, version)
+            }
+            DistributionEvent::Watching(active) => {
                 self.watcher
-                    .set_active(now, active, &self.tuning, &mut self.random);
+                    .set_active(now, active, &self.config, &mut self.random);
             }
-            SpreadEvent::HeadRead(answer) => self.head_read(now, answer),
-            SpreadEvent::ChangesFetched(answer) => self.changes_fetched(now, answer),
+            DistributionEvent::HeadRead(answer) => self.handle_head_read(now, answer),
+            DistributionEvent::ChangesFetched(answer) => self.handle_fetched_changes(now, answer),
         }
         self.tick(now);
         std::mem::take(&mut self.actions)
     }
 
     fn tick(&mut self, now: Timestamp) {
-        if self.watcher.take_poll(now) {
-            self.actions.push(SpreadAction::ReadHead);
+        if self.watcher.start_due_poll(now) {
+            self.actions.push(DistributionAction::ReadHead);
         }
         let since = self.version();
-        if self.watcher.take_fetch(now, since) {
+        if self.watcher.start_due_fetch(now, since) {
             let head = self.watcher.head;
             self.actions
-                .push(SpreadAction::FetchChanges { since, head });
+                .push(DistributionAction::FetchChanges { since, head });
         }
         self.send_repair(now);
     }
 
-    fn received(&mut self, now: Timestamp, sender: NodeKey, message: SpreadMessage) {
+    fn handle_message(&mut self, now: Timestamp, sender: NodeKey, message: DistributionMessage) {
         match message {
-            SpreadMessage::Changes(delta) => self.take_delta(now, Some(sender), delta),
-            SpreadMessage::Want { since } => self.answer_want(sender, since),
-            SpreadMessage::Whole(snapshot) => self.take_snapshot(&snapshot),
+            DistributionMessage::Changes(delta) => self.apply_delta(now, Some(sender), delta),
+            DistributionMessage::Request { since } => self.answer_request(sender, since),
+            DistributionMessage::Snapshot(snapshot) => self.apply_snapshot(&snapshot),
         }
     }
 
     /// Notes a peer's version; a newer one is asked for unless it arrives by itself soon.
-    fn heard_of(&mut self, now: Timestamp, peer: NodeKey, version: u64) {
-        self.newest_heard = self.newest_heard.max(version);
+    fn record_peer_version(&mut self, now: Timestamp, peer: NodeKey, version: u64) {
+        self.newest_known_version = self.newest_known_version.max(version);
         if version <= self.version() {
             return;
         }
@@ -207,11 +211,11 @@
             }
             return;
         }
-        let wait = match self.version() {
+        let delay = match self.version() {
             0 => Duration::ZERO,
-            _ => self.tuning.repair_delay,
+            _ => self.config.repair_delay,
         };
-        let due = (now + wait).max(self.repair_not_before);
+        let due = (now + delay).max(self.repair_not_before);
         self.repair = Some(Repair { peer, due });
     }
 
@@ -219,9 +223,9 @@
         let Some(repair) = self.repair else {
             return;
         };
-        if self.newest_heard <= self.version() {
+        if self.newest_known_version <= self.version() {
             self.repair = None;
-            self.repair_wait = self.tuning.repair_interval;
+            self.repair_backoff = self.config.repair_interval;
             return;
         }
         if repair.due > now {
@@ -230,122 +234,126 @@
         self.repair = None;
         let jitter = self
             .random
-            .random_range(0..=self.repair_wait.as_micros() as u64 / 2);
-        self.repair_not_before = now + self.repair_wait + Duration::from_micros(jitter);
-        self.repair_wait = (self.repair_wait * 2).min(self.tuning.repair_backoff_max);
+            .random_range(0..=self.repair_backoff.as_micros() as u64 / 2);
+        self.repair_not_before = now + self.repair_backoff + Duration::from_micros(jitter);
+        self.repair_backoff = (self.repair_backoff * 2).min(self.config.repair_backoff_max);
         let since = match self.needs_snapshot {
             true => 0,
             false => self.version(),
         };
-        self.actions.push(SpreadAction::Send {
+        self.actions.push(DistributionAction::Send {
             to: repair.peer,
-            message: SpreadMessage::Want { since },
+            message: DistributionMessage::Request { since },
             transport: Transport::Datagram,
         });
     }
 
-    fn answer_want(&mut self, asker: NodeKey, since: u64) {
+    fn answer_request(&mut self, requester: NodeKey, since: u64) {
         if since >= self.version() {
             return;
         }
         let document = self.store.document();
         let message = match document.delta_since(since) {
-            Some(delta) => SpreadMessage::Changes(delta),
-            None => SpreadMessage::Whole(document.snapshot()),
+            Some(delta) => DistributionMessage::Changes(delta),
+            None => DistributionMessage::Snapshot(document.snapshot()),
         };
         let transport = self.transport_for(message.serialize_bin().len());
-        self.actions.push(SpreadAction::Send {
-            to: asker,
+        self.actions.push(DistributionAction::Send {
+            to: requester,
             message,
             transport,
         });
     }
 
-    fn take_delta(&mut self, now: Timestamp, sender: Option<NodeKey>, delta: Delta) {
-        self.newest_heard = self.newest_heard.max(delta.version);
-        let applied = self.store.apply(&delta, self.tuning.remembered_changes);
+    fn apply_delta(&mut self, now: Timestamp, sender: Option<NodeKey>, delta: Delta) {
+        self.newest_known_version = self.newest_known_version.max(delta.version);
+        let applied = self.store.apply(&delta, self.config.retained_changes);
         match applied {
             Ok(()) => {
-                self.installed();
+                self.record_installed();
                 self.push(delta);
             }
             Err(ApplyError::NotNewer) => {}
             Err(error) => {
                 self.needs_snapshot |= error == ApplyError::DigestMismatch;
                 if let Some(peer) = sender {
-                    self.heard_of(now, peer, delta.version);
+                    self.record_peer_version(now, peer, delta.version);
                 }
             }
         }
     }
 
-    fn take_snapshot(&mut self, snapshot: &Snapshot) {
-        self.newest_heard = self.newest_heard.max(snapshot.version);
+    fn apply_snapshot(&mut self, snapshot: &Snapshot) {
+        self.newest_known_version = self.newest_known_version.max(snapshot.version);
         if self.store.replace(snapshot).is_ok() {
-            self.installed();
+            self.record_installed();
         }
     }
 
-    fn installed(&mut self) {
+    fn record_installed(&mut self) {
         self.needs_snapshot = false;
-        self.repair_wait = self.tuning.repair_interval;
+        self.repair_backoff = self.config.repair_interval;
         self.repair_not_before = Timestamp::ZERO;
         let version = self.version();
-        self.actions.push(SpreadAction::Installed { version });
+        self.actions.push(DistributionAction::Installed { version });
     }
 
     /// Passes a delta on to a few random peers.
     fn push(&mut self, delta: Delta) {
-        let message = SpreadMessage::Changes(delta);
+        let message = DistributionMessage::Changes(delta);
         let bytes = message.serialize_bin().len();
-        if bytes > self.tuning.push_bytes {
+        if bytes > self.config.push_bytes {
             return;
         }
         let transport = self.transport_for(bytes);
-        self.actions.push(SpreadAction::Push {
-            own_zone: self.tuning.own_zone_fan_out,
-            other_zones: self.tuning.other_zone_fan_out,
+        self.actions.push(DistributionAction::Push {
+            own_zone: self.config.own_zone_fan_out,
+            other_zones: self.config.other_zone_fan_out,
             message,
             transport,
         });
     }
 
     fn transport_for(&self, bytes: usize) -> Transport {
-        match bytes <= self.tuning.datagram_bytes {
+        match bytes <= self.config.datagram_bytes {
             true => Transport::Datagram,
             false => Transport::Stream,
         }
     }
 
-    fn head_read(&mut self, now: Timestamp, answer: Result<u64, ReadFailure>) {
+    fn handle_head_read(&mut self, now: Timestamp, answer: Result<u64, ReadFailure>) {
         let version = self.version();
         match answer {
             Ok(head) => {
                 self.watcher
-                    .head_read(now, head, version, &self.tuning, &mut self.random);
+                    .record_head_read(now, head, version, &self.config, &mut self.random);
             }
             Err(failure) => {
                 let retry_after = failure.retry_after;
                 self.watcher
-                    .read_failed(now, retry_after, &self.tuning, &mut self.random);
+                    .record_read_failure(now, retry_after, &self.config, &mut self.random);
             }
         }
     }
 
-    fn changes_fetched(&mut self, now: Timestamp, answer: Result<FetchedChanges, ReadFailure>) {
+    fn handle_fetched_changes(
+        &mut self,
+        now: Timestamp,
+        answer: Result<FetchedChanges, ReadFailure>,
+    ) {
         let failure = answer.as_ref().err().map(|failure| failure.retry_after);
         self.watcher
-            .fetched(now, failure, &self.tuning, &mut self.random);
+            .record_fetch(now, failure, &self.config, &mut self.random);
         match answer {
             Ok(FetchedChanges::Deltas(deltas)) => {
                 for delta in deltas {
-                    self.take_delta(now, None, delta);
+                    self.apply_delta(now, None, delta);
                 }
             }
-            Ok(FetchedChanges::Whole { version, entries }) => {
+            Ok(FetchedChanges::FullDocument { version, entries }) => {
                 if version > self.version() {
                     let delta = difference(self.store.document(), version, &entries);
-                    self.take_delta(now, None, delta);
+                    self.apply_delta(now, None, delta);
                 }
             }
             Err(_) => {}
--- a/crates/spurpier-core/src/spread/message.rs
+++ b/crates/spurpier-core/src/distribution/message.rs
@@ -74,7 +74,7 @@
     /// The deltas of the missing versions, in order.
     Deltas(Vec<Delta>),
     /// The whole document as keys and values.
-    Whole {
+    FullDocument {
         /// Its version.
         version: u64,
         /// Its entries.
@@ -84,14 +84,14 @@
 
 /// A message about versions of the document.
 #[derive(Debug, Clone, PartialEq, Eq, SerBin, DeBin)]
-pub enum SpreadMessage {
-    /// Changes, unasked or as the answer to [`SpreadMessage::Want`].
+pub enum DistributionMessage {
+    /// Changes, unasked or as the answer to [`DistributionMessage::Request`].
     Changes(Delta),
     /// Asks for all changes after this version; 0 asks for a whole document.
-    Want {
+    Request {
         /// The asker's version.
         since: u64,
     },
     /// A whole document, as the answer when the changes are not known any more.
-    Whole(Snapshot),
+    Snapshot(Snapshot),
 }
--- a/crates/spurpier-core/src/spread/mod.rs
+++ b/crates/spurpier-core/src/distribution/mod.rs
@@ -12,6 +12,6 @@
 mod watcher;
 
 pub use document::{ApplyError, Document, DocumentStore, OwnedDocument, difference};
-pub use machine::{ReadFailure, Spread, SpreadAction, SpreadEvent};
-pub use message::{Delta, EntryChange, FetchedChanges, Snapshot, SpreadMessage};
-pub use settings::SpreadTuning;
+pub use machine::{Distribution, DistributionAction, DistributionEvent, ReadFailure};
+pub use message::{Delta, DistributionMessage, EntryChange, FetchedChanges, Snapshot};
+pub use settings::DistributionConfig;
--- a/crates/spurpier-core/src/spread/settings.rs
+++ b/crates/spurpier-core/src/distribution/settings.rs
@@ -4,7 +4,7 @@
 
 /// The rates, times and bounds of the spread of documents.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SpreadTuning {
+pub struct DistributionConfig {
     /// How many nodes of each zone read the platform.
     pub watchers_per_zone: usize,
     /// The time between two reads of the head by one watcher.
@@ -24,16 +24,16 @@
     /// The longest wait between requests for changes that stay unanswered.
     pub repair_backoff_max: Duration,
     /// How many recent changes are remembered, to answer requests with deltas.
-    pub remembered_changes: usize,
+    pub retained_changes: usize,
     /// Messages above this size, in bytes, travel over a connection.
     pub datagram_bytes: usize,
     /// Changes above this size, in bytes, are not passed on unasked: peers ask for them once.
     pub push_bytes: usize,
 }
 
-impl Default for SpreadTuning {
+impl Default for DistributionConfig {
     fn default() -> Self {
-        SpreadTuning {
+        DistributionConfig {
             watchers_per_zone: 2,
             poll_interval: Duration::from_millis(500),
             poll_backoff_max: Duration::from_millis(8_000),
@@ -43,7 +43,7 @@
             repair_delay: Duration::from_millis(300),
             repair_interval: Duration::from_millis(1_000),
             repair_backoff_max: Duration::from_millis(2_000),
-            remembered_changes: 1_024,
+            retained_changes: 1_024,
             datagram_bytes: 1_200,
             push_bytes: 16_384,
         }
--- a/crates/spurpier-core/src/spread/watcher.rs
+++ b/crates/spurpier-core/src/distribution/watcher.rs
@@ -5,7 +5,7 @@
 use rand::RngExt;
 use rand::rngs::SmallRng;
 
-use super::settings::SpreadTuning;
+use super::settings::DistributionConfig;
 use crate::time::Timestamp;
 
 /// The reading schedule of one node; idle unless the node is a watcher of its zone.
@@ -41,12 +41,12 @@
         &mut self,
         now: Timestamp,
         active: bool,
-        tuning: &SpreadTuning,
+        config: &DistributionConfig,
         random: &mut SmallRng,
     ) {
         if active && !self.active {
-            let wait = random_up_to(random, tuning.poll_interval);
-            self.next_poll = self.next_poll.max(now + wait);
+            let delay = random_up_to(random, config.poll_interval);
+            self.next_poll = self.next_poll.max(now + delay);
         }
         self.active = active;
     }
@@ -62,14 +62,14 @@
     }
 
     /// Whether the head is to be read now; the caller then reads it.
-    pub(super) fn take_poll(&mut self, now: Timestamp) -> bool {
+    pub(super) fn start_due_poll(&mut self, now: Timestamp) -> bool {
         let due = self.active && !self.poll_outstanding && self.next_poll <= now;
         self.poll_outstanding |= due;
         due
     }
 
     /// Whether changes are to be fetched now for a node of this version.
-    pub(super) fn take_fetch(&mut self, now: Timestamp, version: u64) -> bool {
+    pub(super) fn start_due_fetch(&mut self, now: Timestamp, version: u64) -> bool {
         if version >= self.head {
             self.fetch_at = None;
         }
@@ -82,73 +82,73 @@
     }
 
     /// Notes an answer with the head's version.
-    pub(super) fn head_read(
+    pub(super) fn record_head_read(
         &mut self,
         now: Timestamp,
         head: u64,
         version: u64,
-        tuning: &SpreadTuning,
+        config: &DistributionConfig,
         random: &mut SmallRng,
     ) {
         self.poll_outstanding = false;
         self.failures = 0;
         self.head = self.head.max(head);
-        self.next_poll = now + spread_out(random, tuning.poll_interval);
+        self.next_poll = now + with_jitter(random, config.poll_interval);
         if self.head > version && self.fetch_at.is_none() {
-            self.fetch_at = Some(now + random_up_to(random, tuning.fetch_delay));
+            self.fetch_at = Some(now + random_up_to(random, config.fetch_delay));
         }
     }
 
     /// Notes that a read of the head failed: the next one waits longer.
-    pub(super) fn read_failed(
+    pub(super) fn record_read_failure(
         &mut self,
         now: Timestamp,
         retry_after: Option<Duration>,
-        tuning: &SpreadTuning,
+        config: &DistributionConfig,
         random: &mut SmallRng,
     ) {
         self.poll_outstanding = false;
-        let wait = self.back_off(retry_after, tuning, random);
-        self.next_poll = now + wait;
+        let delay = self.next_backoff(retry_after, config, random);
+        self.next_poll = now + delay;
     }
 
     /// Notes the end of a fetch; a failed one is tried again after a wait.
-    pub(super) fn fetched(
+    pub(super) fn record_fetch(
         &mut self,
         now: Timestamp,
         failure: Option<Option<Duration>>,
-        tuning: &SpreadTuning,
+        config: &DistributionConfig,
         random: &mut SmallRng,
     ) {
         self.fetch_outstanding = false;
         if let Some(retry_after) = failure {
-            let wait = self.back_off(retry_after, tuning, random);
-            self.fetch_at = Some(now + wait);
+            let delay = self.next_backoff(retry_after, config, random);
+            self.fetch_at = Some(now + delay);
         }
     }
 
     /// A wait that doubles with each failure, at least half of it kept and the rest random.
-    fn back_off(
+    fn next_backoff(
         &mut self,
         retry_after: Option<Duration>,
-        tuning: &SpreadTuning,
+        config: &DistributionConfig,
         random: &mut SmallRng,
     ) -> Duration {
         /// Doublings after which the wait is at its bound in any case.
-        const MOST_DOUBLINGS: u32 = 10;
-        self.failures = (self.failures + 1).min(MOST_DOUBLINGS);
-        let doubled = tuning.poll_interval * 2u32.pow(self.failures);
-        let longest = doubled.min(tuning.poll_backoff_max);
-        let wait = longest / 2 + random_up_to(random, longest / 2);
-        wait.max(retry_after.unwrap_or_default())
+        const MAX_DOUBLINGS: u32 = 10;
+        self.failures = (self.failures + 1).min(MAX_DOUBLINGS);
+        let doubled = config.poll_interval * 2u32.pow(self.failures);
+        let max = doubled.min(config.poll_backoff_max);
+        let delay = max / 2 + random_up_to(random, max / 2);
+        delay.max(retry_after.unwrap_or_default())
     }
 }
 
-fn random_up_to(random: &mut SmallRng, longest: Duration) -> Duration {
-    Duration::from_micros(random.random_range(0..=longest.as_micros() as u64))
+fn random_up_to(random: &mut SmallRng, max: Duration) -> Duration {
+    Duration::from_micros(random.random_range(0..=max.as_micros() as u64))
 }
 
 /// An interval with a tenth of jitter.
-fn spread_out(random: &mut SmallRng, interval: Duration) -> Duration {
+fn with_jitter(random: &mut SmallRng, interval: Duration) -> Duration {
     interval * 9 / 10 + random_up_to(random, interval / 5)
 }
--- a/crates/spurpier-core/src/policy/cache.rs
+++ b/crates/spurpier-core/src/policy/cache.rs
@@ -4,15 +4,15 @@
 use std::hash::{BuildHasher, RandomState};
 use std::sync::{PoisonError, RwLock};
 
-use super::{Decision, RequestFacts};
+use super::{Decision, RequestAttributes};
 
 const SHARDS: usize = 16;
 const ENTRIES_PER_SHARD: usize = 256;
 
 /// Facts with longer texts than this are not kept, so that the cache is bounded in bytes too.
-const MAX_TEXT_BYTES: usize = 256;
+const MAX_KEY_TEXT_BYTES: usize = 256;
 
-type Shard = RwLock<HashMap<RequestFacts, Decision>>;
+type Shard = RwLock<HashMap<RequestAttributes, Decision>>;
 
 /// Remembers decisions by the facts that led to them.
 ///
@@ -32,27 +32,27 @@
         }
     }
 
-    fn shard(&self, facts: &RequestFacts) -> &Shard {
-        let hash = self.hasher.hash_one(facts);
+    fn shard(&self, attributes: &RequestAttributes) -> &Shard {
+        let hash = self.hasher.hash_one(attributes);
         &self.shards[hash as usize % SHARDS]
     }
 
-    pub(super) fn get(&self, facts: &RequestFacts) -> Option<Decision> {
-        let shard = self.shard(facts);
+    pub(super) fn get(&self, attributes: &RequestAttributes) -> Option<Decision> {
+        let shard = self.shard(attributes);
         let entries = shard.read().unwrap_or_else(PoisonError::into_inner);
-        entries.get(facts).cloned()
+        entries.get(attributes).cloned()
     }
 
-    pub(super) fn insert(&self, facts: RequestFacts, decision: Decision) {
-        if facts.user.len() + facts.class.len() > MAX_TEXT_BYTES {
+    pub(super) fn insert(&self, attributes: RequestAttributes, decision: Decision) {
+        if attributes.user.len() + attributes.class.len() > MAX_KEY_TEXT_BYTES {
             return;
         }
-        let shard = self.shard(&facts);
+        let shard = self.shard(&attributes);
         let mut entries = shard.write().unwrap_or_else(PoisonError::into_inner);
         if entries.len() >= ENTRIES_PER_SHARD {
             entries.clear();
         }
-        entries.insert(facts, decision);
+        entries.insert(attributes, decision);
     }
 
     pub(super) fn len(&self) -> usize {
--- a/crates/spurpier-core/src/policy/check.rs
+++ b/crates/spurpier-core/src/policy/check.rs
@@ -1,6 +1,6 @@
 //! Checking a policy program before it is published.
 
-use super::{Finding, PolicyProgram, RequestFacts, StatementKind};
+use super::{Finding, PolicyProgram, RequestAttributes, StatementKind};
 use crate::identity::{DatabaseName, Side};
 
 /// Compiles a program and evaluates it for each database and both kinds of statement.
@@ -35,14 +35,14 @@
         }
     };
     for statement in [StatementKind::Read, StatementKind::Write] {
-        let facts = RequestFacts {
+        let attributes = RequestAttributes {
             database: database.clone(),
             user: String::new(),
             statement,
             zone: String::new(),
             class: String::new(),
         };
-        if let Err(finding) = program.route(&facts, write_side) {
+        if let Err(finding) = program.route(&attributes, write_side) {
             findings.push(for_database(finding, database));
         }
     }
--- a/crates/spurpier-core/src/policy/document.rs
+++ b/crates/spurpier-core/src/policy/document.rs
@@ -170,10 +170,10 @@
     side: Side,
     version: u64,
 ) -> Placement {
-    let before = previous
+    let previous_placement = previous
         .iter()
         .find(|placement| placement.database == *database);
-    let (side_before, epoch_before) = before.map_or((Side::Old, 0), |placement| {
+    let (side_before, epoch_before) = previous_placement.map_or((Side::Old, 0), |placement| {
         (placement.side, placement.epoch)
     });
     let epoch = if side == side_before {
--- a/crates/spurpier-core/src/policy/entries.rs
+++ b/crates/spurpier-core/src/policy/entries.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 
 use super::{InvalidDocument, Placement, PolicyDocument, PolicyHead};
+use crate::distribution::Document;
 use crate::identity::{DatabaseName, Side};
-use crate::spread::Document;
 
 /// The greatest length of one entry's value, in bytes; a program is shorter.
 pub const MAX_ENTRY_BYTES: usize = u16::MAX as usize;
@@ -39,13 +39,13 @@
 pub fn policy_from_entries(
     entries: &Document,
 ) -> Result<(PolicyHead, PolicyDocument), InvalidDocument> {
-    let head = PolicyHead::from_text(required(entries, HEAD_ENTRY)?)?;
-    let program = required(entries, PROGRAM_ENTRY)?.to_owned();
+    let head = PolicyHead::from_text(require_entry(entries, HEAD_ENTRY)?)?;
+    let program = require_entry(entries, PROGRAM_ENTRY)?.to_owned();
     // Entries come in the order of their keys, as the placements of a document do.
     let placements = entries
         .iter()
         .filter_map(|(key, value)| Some((key.strip_prefix(PLACEMENT_PREFIX)?, value)))
-        .map(|(database, value)| placement(database, value))
+        .map(|(database, value)| parse_placement(database, value))
         .collect::<Result<Vec<Placement>, InvalidDocument>>()?;
     let document = PolicyDocument {
         version: head.version,
@@ -62,7 +62,7 @@
     Ok((head, document))
 }
 
-fn required<'entries>(
+fn require_entry<'entries>(
     entries: &'entries Document,
     key: &str,
 ) -> Result<&'entries str, InvalidDocument> {
@@ -70,7 +70,7 @@
     value.ok_or_else(|| InvalidDocument::Malformed(format!("the entry {key} is missing")))
 }
 
-fn placement(database: &str, value: &str) -> Result<Placement, InvalidDocument> {
+fn parse_placement(database: &str, value: &str) -> Result<Placement, InvalidDocument> {
     let malformed = || InvalidDocument::Malformed(format!("the placement of {database}: {value}"));
     let (side, epoch) = value.split_once(' ').ok_or_else(malformed)?;
     let side = match side {
--- a/crates/spurpier-core/src/policy/finding.rs
+++ b/crates/spurpier-core/src/policy/finding.rs
@@ -17,7 +17,7 @@
 
 impl Finding {
     /// A fault of the program as a whole.
-    pub fn without_place(message: impl Into<String>) -> Self {
+    pub fn without_position(message: impl Into<String>) -> Self {
         Finding {
             line: None,
             column: None,
--- a/crates/spurpier-core/src/policy/in_force.rs
+++ b/crates/spurpier-core/src/policy/in_force.rs
@@ -6,7 +6,7 @@
 use super::cache::DecisionCache;
 use super::{
     Decision, FreshnessDemand, InvalidDocument, Placement, PolicyDocument, PolicyProgram,
-    RequestFacts,
+    RequestAttributes,
 };
 use crate::identity::{DatabaseName, Side};
 
@@ -82,28 +82,28 @@
     /// Decides a request; the same facts always give the same decision.
     ///
     /// A request of an unplaced database and one on which the program fails are refused.
-    pub fn decide(&self, facts: &RequestFacts) -> Decision {
-        if let Some(decision) = self.cache.get(facts) {
+    pub fn decide(&self, attributes: &RequestAttributes) -> Decision {
+        if let Some(decision) = self.cache.get(attributes) {
             return decision;
         }
-        let decision = self.evaluate(facts);
-        self.cache.insert(facts.clone(), decision.clone());
+        let decision = self.evaluate(attributes);
+        self.cache.insert(attributes.clone(), decision.clone());
         decision
     }
 
-    fn evaluate(&self, facts: &RequestFacts) -> Decision {
-        let Some(placement) = self.placement(&facts.database) else {
-            return refused(
+    fn evaluate(&self, attributes: &RequestAttributes) -> Decision {
+        let Some(placement) = self.placement(&attributes.database) else {
+            return refusal(
                 Side::Old,
                 "the policy does not place the database".to_owned(),
             );
         };
-        match self.program.route(facts, placement.side) {
+        match self.program.route(attributes, placement.side) {
             Ok(decision) => decision,
             Err(finding) => {
                 self.failures.fetch_add(1, Ordering::Relaxed);
-                let text = format!("policy version {} failed at {finding}", self.version);
-                refused(placement.side, text)
+                let reason = format!("policy version {} failed at {finding}", self.version);
+                refusal(placement.side, reason)
             }
         }
     }
@@ -124,12 +124,12 @@
     }
 }
 
-fn refused(side: Side, text: String) -> Decision {
+fn refusal(side: Side, reason: String) -> Decision {
     Decision {
         side,
         freshness: FreshnessDemand::Session,
         replica_allowed: false,
-        patience_ms: 0,
-        refusal: Some(text),
+        max_wait_ms: 0,
+        refusal: Some(reason),
     }
 }
--- a/crates/spurpier-core/src/policy/mod.rs
+++ b/crates/spurpier-core/src/policy/mod.rs
@@ -30,8 +30,8 @@
 pub use program::{MAX_PROGRAM_BYTES, PolicyProgram};
 pub use publish::Publish;
 pub use publish_messages::{
-    HeadRow, PublishAction, PublishConflict, PublishEvent, PublishOutcome, PublishRequest,
-    ReadFailed, TransactAnswer,
+    HeadRow, PlatformFailure, PublishAction, PublishConflict, PublishEvent, PublishOutcome,
+    PublishRequest, TransactAnswer,
 };
 pub use start_gate::StartGate;
 
@@ -66,7 +66,7 @@
 
 /// What a policy may know of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct RequestFacts {
+pub struct RequestAttributes {
     /// The database.
     pub database: DatabaseName,
     /// The user of the client connection.
@@ -100,7 +100,7 @@
     /// Whether a replica may serve it.
     pub replica_allowed: bool,
     /// How long it may wait before anything of it is sent, in milliseconds.
-    pub patience_ms: u32,
+    pub max_wait_ms: u32,
     /// The reason for refusing it; none admits it.
     pub refusal: Option<String>,
 }
--- a/crates/spurpier-core/src/policy/program.rs
+++ b/crates/spurpier-core/src/policy/program.rs
@@ -10,7 +10,7 @@
 };
 use rhai::{AST, Dynamic, Engine, EvalAltResult, Map, Scope};
 
-use super::{Decision, Finding, FreshnessDemand, RequestFacts, StatementKind};
+use super::{Decision, Finding, FreshnessDemand, RequestAttributes, StatementKind};
 use crate::identity::{DatabaseName, Side};
 
 /// The greatest length of a program's text, in bytes.
@@ -32,7 +32,7 @@
 const ROUTE_FUNCTION: &str = "route";
 
 /// The patience of a request for which the program names none, in milliseconds.
-const DEFAULT_PATIENCE_MS: u32 = 1_000;
+const DEFAULT_MAX_WAIT_MS: u32 = 1_000;
 
 /// A compiled policy program; immutable and shared between tasks.
 pub struct PolicyProgram {
@@ -59,7 +59,7 @@
     pub fn compile(text: &str) -> Result<PolicyProgram, Vec<Finding>> {
         if text.len() > MAX_PROGRAM_BYTES {
             let message = format!("the program is longer than {MAX_PROGRAM_BYTES} bytes");
-            return Err(vec![Finding::without_place(message)]);
+            return Err(vec![Finding::without_position(message)]);
         }
         let engine = limited_engine();
         let syntax_tree = engine
@@ -97,9 +97,13 @@
     /// # Errors
     ///
     /// The fault when the program fails or gives no valid decision.
-    pub fn route(&self, facts: &RequestFacts, write_side: Side) -> Result<Decision, Finding> {
-        let answer = self.call(ROUTE_FUNCTION, request_map(facts))?;
-        decision_from(answer, facts.statement, write_side)
+    pub fn route(
+        &self,
+        attributes: &RequestAttributes,
+        write_side: Side,
+    ) -> Result<Decision, Finding> {
+        let answer = self.call(ROUTE_FUNCTION, request_map(attributes))?;
+        decision_from(answer, attributes.statement, write_side)
             .map_err(|message| in_function(ROUTE_FUNCTION, &message))
     }
 
@@ -151,38 +155,38 @@
     .into_iter()
     .filter(|(name, _)| !is_defined(name))
     .map(|(name, parameter)| {
-        Finding::without_place(format!("the function `{name}({parameter})` is missing"))
+        Finding::without_position(format!("the function `{name}({parameter})` is missing"))
     })
     .collect()
 }
 
 fn in_function(function: &str, message: &str) -> Finding {
-    Finding::without_place(format!("`{function}`: {message}"))
+    Finding::without_position(format!("`{function}`: {message}"))
 }
 
 fn runtime_finding(error: &EvalAltResult) -> Finding {
     let inner = error.unwrap_inner();
-    let mut placeless = error.to_string();
+    let mut message = error.to_string();
     // The place is a field of the finding and need not stand in the message as well.
-    if let Some(start) = placeless.rfind(" (line ") {
-        placeless.truncate(start);
+    if let Some(start) = message.rfind(" (line ") {
+        message.truncate(start);
     }
     let position = if inner.position().is_none() {
         error.position()
     } else {
         inner.position()
     };
-    Finding::at(position, placeless)
+    Finding::at(position, message)
 }
 
-fn request_map(facts: &RequestFacts) -> Map {
+fn request_map(attributes: &RequestAttributes) -> Map {
     let mut request = Map::new();
     let mut insert = |key: &str, value: &str| request.insert(key.into(), value.into());
-    insert("database", facts.database.as_str());
-    insert("user", &facts.user);
-    insert("statement", facts.statement.as_str());
-    insert("zone", &facts.zone);
-    insert("class", &facts.class);
+    insert("database", attributes.database.as_str());
+    insert("user", &attributes.user);
+    insert("statement", attributes.statement.as_str());
+    insert("zone", &attributes.zone);
+    insert("class", &attributes.class);
     request
 }
 
@@ -214,7 +218,7 @@
     freshness: Option<String>,
     bound_ms: Option<u32>,
     replica: Option<bool>,
-    patience_ms: Option<u32>,
+    max_wait_ms: Option<u32>,
     side: Option<Side>,
     refuse: Option<String>,
 }
@@ -232,7 +236,7 @@
         match key {
             "freshness" => self.freshness = Some(text_from(value, key)?),
             "bound_ms" => self.bound_ms = Some(milliseconds_from(value, key)?),
-            "patience_ms" => self.patience_ms = Some(milliseconds_from(value, key)?),
+            "patience_ms" => self.max_wait_ms = Some(milliseconds_from(value, key)?),
             "side" => self.side = Some(side_from(value)?),
             "refuse" if value.is_unit() => self.refuse = None,
             "refuse" => self.refuse = Some(text_from(value, key)?),
@@ -282,7 +286,7 @@
         side: answer.side.unwrap_or(write_side),
         freshness,
         replica_allowed: is_read && answer.replica.unwrap_or(true),
-        patience_ms: answer.patience_ms.unwrap_or(DEFAULT_PATIENCE_MS),
+        max_wait_ms: answer.max_wait_ms.unwrap_or(DEFAULT_MAX_WAIT_MS),
         refusal: answer.refuse,
     })
 }
--- a/crates/spurpier-core/src/policy/publish.rs
+++ b/crates/spurpier-core/src/policy/publish.rs
@@ -8,8 +8,8 @@
 use std::collections::BTreeSet;
 
 use super::publish_messages::{
-    HeadRow, PublishAction, PublishConflict, PublishEvent, PublishOutcome, PublishRequest,
-    ReadFailed, TransactAnswer,
+    HeadRow, PlatformFailure, PublishAction, PublishConflict, PublishEvent, PublishOutcome,
+    PublishRequest, TransactAnswer,
 };
 use super::{Placement, PolicyDocument, PolicyHead, PolicyProgram, check, next_placements};
 use crate::identity::DatabaseName;
@@ -23,18 +23,18 @@
     request: PublishRequest,
     /// The compiled program; none when it has faults and the publication has ended.
     program: Option<PolicyProgram>,
-    awaited: PublishAction,
+    pending_action: PublishAction,
     head_row_version: u64,
-    own: Option<OwnDocument>,
+    prepared: Option<PreparedDocument>,
     /// A head of another publication whose document is being read.
-    rival: Option<PolicyHead>,
+    competing_head: Option<PolicyHead>,
     attempts: u32,
     /// Whether an acceptance was sent whose effect is not known.
-    in_doubt: bool,
+    acceptance_in_doubt: bool,
 }
 
 #[derive(Debug, Clone)]
-struct OwnDocument {
+struct PreparedDocument {
     document: PolicyDocument,
     head: PolicyHead,
 }
@@ -51,12 +51,12 @@
         let publish = Publish {
             program: PolicyProgram::compile(&request.program).ok(),
             request,
-            awaited: first.clone(),
+            pending_action: first.clone(),
             head_row_version: 0,
-            own: None,
-            rival: None,
+            prepared: None,
+            competing_head: None,
             attempts: 0,
-            in_doubt: false,
+            acceptance_in_doubt: false,
         };
         (publish, first)
     }
@@ -65,7 +65,7 @@
     ///
     /// An event that does not answer the last action gives that action again.
     pub fn step(&mut self, event: PublishEvent) -> PublishAction {
-        let next = match (&self.awaited, event) {
+        let next = match (&self.pending_action, event) {
             (PublishAction::ReadHead, PublishEvent::Head(answer)) => self.on_head(answer),
             (PublishAction::ReadHistory { .. }, PublishEvent::History(answer)) => {
                 self.on_history(answer)
@@ -79,9 +79,9 @@
             (PublishAction::Accept { .. }, PublishEvent::Transacted(answer)) => {
                 self.on_transacted(answer)
             }
-            _ => self.awaited.clone(),
+            _ => self.pending_action.clone(),
         };
-        self.awaited = next.clone();
+        self.pending_action = next.clone();
         next
     }
 
@@ -95,10 +95,10 @@
         }
     }
 
-    fn on_head(&mut self, answer: Result<HeadRow, ReadFailed>) -> PublishAction {
+    fn on_head(&mut self, answer: Result<HeadRow, PlatformFailure>) -> PublishAction {
         let row = match answer {
             Ok(row) => row,
-            Err(failed) => return self.give_up(failed.why),
+            Err(failure) => return self.give_up(failure.why),
         };
         let current = row.head.as_ref().map_or(0, |head| head.version);
         if current > self.request.expect_version {
@@ -138,23 +138,23 @@
             digest: digest.clone(),
             publish_id: self.request.publish_id.clone(),
         };
-        self.own = Some(OwnDocument {
+        self.prepared = Some(PreparedDocument {
             document: document.clone(),
             head,
         });
         PublishAction::StoreDocument { document, digest }
     }
 
-    fn on_stored(&mut self, answer: Result<(), ReadFailed>) -> PublishAction {
+    fn on_stored(&mut self, answer: Result<(), PlatformFailure>) -> PublishAction {
         match answer {
             Ok(()) => self.accept("no answer from the platform"),
-            Err(failed) => self.give_up(failed.why),
+            Err(failure) => self.give_up(failure.why),
         }
     }
 
     /// Sends the acceptance, as long as there are attempts left.
-    fn accept(&mut self, why_not: &str) -> PublishAction {
-        let head = self.own.as_ref().map(|own| own.head.clone());
+    fn accept(&mut self, reason: &str) -> PublishAction {
+        let head = self.prepared.as_ref().map(|prepared| prepared.head.clone());
         match head {
             Some(head) if self.attempts < MAX_TRANSACT_ATTEMPTS => {
                 self.attempts += 1;
@@ -163,7 +163,7 @@
                     head,
                 }
             }
-            _ => self.give_up(why_not.to_owned()),
+            _ => self.give_up(reason.to_owned()),
         }
     }
 
@@ -171,19 +171,19 @@
         match answer {
             TransactAnswer::Accepted => self.accepted(false),
             TransactAnswer::Conflict => self.read_history(),
-            TransactAnswer::NotDone => self.accept("the platform refuses the transaction"),
+            TransactAnswer::NotApplied => self.accept("the platform refuses the transaction"),
             TransactAnswer::Unknown => {
-                self.in_doubt = true;
+                self.acceptance_in_doubt = true;
                 self.read_history()
             }
         }
     }
 
     fn accepted(&self, repeated: bool) -> PublishAction {
-        let outcome = match &self.own {
-            Some(own) => PublishOutcome::Accepted {
-                head: own.head.clone(),
-                document: own.document.clone(),
+        let outcome = match &self.prepared {
+            Some(prepared) => PublishOutcome::Accepted {
+                head: prepared.head.clone(),
+                document: prepared.document.clone(),
                 repeated,
             },
             None => PublishOutcome::Unknown {
@@ -193,9 +193,9 @@
         PublishAction::Finish(outcome)
     }
 
-    fn on_history(&mut self, answer: Result<Option<PolicyHead>, ReadFailed>) -> PublishAction {
+    fn on_history(&mut self, answer: Result<Option<PolicyHead>, PlatformFailure>) -> PublishAction {
         match answer {
-            Err(failed) => self.give_up(failed.why),
+            Err(failure) => self.give_up(failure.why),
             // Not made so far. One still under way and this one cannot both be made.
             Ok(None) => self.accept("the head has moved but its history row is missing"),
             Ok(Some(head)) => self.on_version_taken(head),
@@ -203,18 +203,18 @@
     }
 
     fn on_version_taken(&mut self, head: PolicyHead) -> PublishAction {
-        let is_own = head.publish_id == self.request.publish_id;
-        if is_own && self.own.is_some() {
+        let is_own_publication = head.publish_id == self.request.publish_id;
+        if is_own_publication && self.prepared.is_some() {
             return self.accepted(false);
         }
         let digest = head.digest.clone();
-        self.rival = Some(head);
+        self.competing_head = Some(head);
         PublishAction::ReadDocument { digest }
     }
 
-    fn on_document(&mut self, answer: Result<PolicyDocument, ReadFailed>) -> PublishAction {
-        let rival = self.rival.take();
-        match (answer, rival) {
+    fn on_document(&mut self, answer: Result<PolicyDocument, PlatformFailure>) -> PublishAction {
+        let competing_head = self.competing_head.take();
+        match (answer, competing_head) {
             (Ok(document), None) => self.store_document(&document.placements),
             (Ok(document), Some(head)) if self.is_same_policy(&document) => {
                 PublishAction::Finish(PublishOutcome::Accepted {
@@ -227,10 +227,10 @@
                 PublishAction::Finish(PublishOutcome::Lost(PublishConflict::Winner(head)))
             }
             // The version is taken, perhaps by an earlier publication of the same program.
-            (Err(failed), Some(_)) => {
-                PublishAction::Finish(PublishOutcome::Unknown { why: failed.why })
+            (Err(failure), Some(_)) => {
+                PublishAction::Finish(PublishOutcome::Unknown { why: failure.why })
             }
-            (Err(failed), None) => self.give_up(failed.why),
+            (Err(failure), None) => self.give_up(failure.why),
         }
     }
 
@@ -250,7 +250,7 @@
     }
 
     fn give_up(&self, why: String) -> PublishAction {
-        let outcome = if self.in_doubt {
+        let outcome = if self.acceptance_in_doubt {
             PublishOutcome::Unknown { why }
         } else {
             PublishOutcome::NotAccepted { why }
--- a/crates/spurpier-core/src/policy/publish_messages.rs
+++ b/crates/spurpier-core/src/policy/publish_messages.rs
@@ -27,7 +27,7 @@
 
 /// A read or an idempotent write failed for good, retries included.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ReadFailed {
+pub struct PlatformFailure {
     /// Why, for the operator.
     pub why: String,
 }
@@ -40,7 +40,7 @@
     /// A condition did not hold; nothing was made.
     Conflict,
     /// It was certainly not made and may be tried again.
-    NotDone,
+    NotApplied,
     /// It may have been made, and may yet be.
     Unknown,
 }
@@ -83,13 +83,13 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PublishEvent {
     /// The head row was read.
-    Head(Result<HeadRow, ReadFailed>),
+    Head(Result<HeadRow, PlatformFailure>),
     /// A history row was read; none when it is absent.
-    History(Result<Option<PolicyHead>, ReadFailed>),
+    History(Result<Option<PolicyHead>, PlatformFailure>),
     /// A document was read.
-    Document(Result<PolicyDocument, ReadFailed>),
+    Document(Result<PolicyDocument, PlatformFailure>),
     /// The document was stored.
-    Stored(Result<(), ReadFailed>),
+    Stored(Result<(), PlatformFailure>),
     /// The acceptance was answered.
     Transacted(TransactAnswer),
 }
--- a/crates/spurpier-core/src/policy/start_gate.rs
+++ b/crates/spurpier-core/src/policy/start_gate.rs
@@ -13,7 +13,7 @@
     /// Notes the version of the head, read from the platform after the node started.
     ///
     /// Only the first one counts: later versions reach a serving node by the usual spread.
-    pub fn head_read(&mut self, version: u64) {
+    pub fn record_head(&mut self, version: u64) {
         self.head.get_or_insert(version);
     }
 
--- a/crates/spurpier-core/tests/model/node/mod.rs
+++ b/crates/spurpier-core/tests/model/node/mod.rs
@@ -11,6 +11,7 @@
 use std::time::Duration;
 
 use spurpier_core::commit::{CommitAction, CommitEvent, CommitMachine, CommitVerdict, WriteKind};
+use spurpier_core::distribution::{Distribution, DistributionEvent, OwnedDocument};
 use spurpier_core::group::{GroupView, ObservedStatus, ServerStatus, ServerView};
 use spurpier_core::group_history::GroupHistory;
 use spurpier_core::handover::{Handover, HandoverAction, HandoverEvent, HandoverStep};
@@ -20,7 +21,6 @@
 use spurpier_core::position::Position;
 use spurpier_core::reason::Reason;
 use spurpier_core::routing::{ReadDemand, Route, ServerLoad, route_read, route_write};
-use spurpier_core::spread::{OwnedDocument, Spread, SpreadEvent};
 use spurpier_core::time::Timestamp;
 use spurpier_rehearsal::oracle::{Outcome, PolicyObserved, ReadFreshness, StopTarget};
 
@@ -103,7 +103,7 @@
     pub draining: bool,
     pub draining_since: u64,
     pub deferred: VecDeque<ToNode>,
-    pub spread: Spread<OwnedDocument>,
+    pub spread: Distribution<OwnedDocument>,
     gate: StartGate,
     /// Whether the gate at the start is taken out.
     pub ungated: bool,
@@ -146,7 +146,7 @@
             draining: false,
             draining_since: 0,
             deferred: VecDeque::new(),
-            spread: Spread::new(OwnedDocument::default(), Arc::default(), zone as u64),
+            spread: Distribution::new(OwnedDocument::default(), Arc::default(), zone as u64),
             gate: StartGate::default(),
             ungated: false,
             broken_policy: None,
@@ -225,11 +225,11 @@
             } => self.probe_answered(node, server, asked_at, *status),
             ToNode::PeerVersion { peer, version } => {
                 let peer = NodeKey(peer as u64);
-                self.spread_event(node, SpreadEvent::PeerVersion { peer, version });
+                self.spread_event(node, DistributionEvent::PeerVersion { peer, version });
             }
             ToNode::Spread(event) => {
-                if let SpreadEvent::HeadRead(Ok(version)) = *event {
-                    self.nodes[node].gate.head_read(version);
+                if let DistributionEvent::HeadRead(Ok(version)) = *event {
+                    self.nodes[node].gate.record_head(version);
                 }
                 self.spread_event(node, *event);
             }
@@ -241,7 +241,7 @@
             self.probe_all(node);
         }
         self.note_unreachable(node);
-        self.spread_event(node, SpreadEvent::Watching(true));
+        self.spread_event(node, DistributionEvent::Watching(true));
         self.drive_handover(node);
         let now = self.timestamp();
         let units: Vec<u64> = self.nodes[node].units.keys().copied().collect();
--- a/crates/spurpier-core/tests/model/platform.rs
+++ b/crates/spurpier-core/tests/model/platform.rs
@@ -3,13 +3,15 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
+use spurpier_core::distribution::{
+    DistributionAction, DistributionEvent, FetchedChanges, ReadFailure,
+};
 use spurpier_core::identity::{DatabaseName, Side};
 use spurpier_core::membership::NodeKey;
 use spurpier_core::policy::{
-    HeadRow, Placement, PolicyDocument, PolicyHead, Publish, PublishAction, PublishEvent,
-    PublishOutcome, PublishRequest, ReadFailed, TransactAnswer,
+    HeadRow, Placement, PlatformFailure, PolicyDocument, PolicyHead, Publish, PublishAction,
+    PublishEvent, PublishOutcome, PublishRequest, TransactAnswer,
 };
-use spurpier_core::spread::{FetchedChanges, ReadFailure, SpreadAction, SpreadEvent};
 use spurpier_core::time::Timestamp;
 use spurpier_rehearsal::oracle::PolicyAccepted;
 
@@ -128,7 +130,7 @@
 
     fn operator_act(&mut self, operator: usize, action: PublishAction) {
         let call = self.call();
-        let failed = || ReadFailed {
+        let failed = || PlatformFailure {
             why: "down".to_owned(),
         };
         let delay = call.unwrap_or(CALL);
@@ -182,7 +184,7 @@
             self.answer_operator(
                 operator,
                 CALL,
-                PublishEvent::Transacted(TransactAnswer::NotDone),
+                PublishEvent::Transacted(TransactAnswer::NotApplied),
             );
             return;
         };
@@ -278,9 +280,9 @@
         }
     }
 
-    pub fn spread_event(&mut self, node: usize, event: SpreadEvent) {
+    pub fn spread_event(&mut self, node: usize, event: DistributionEvent) {
         let now = Timestamp::from_micros(self.now);
-        if let (Breakage::PolicyMayFall, SpreadEvent::PeerVersion { version, .. }) =
+        if let (Breakage::PolicyMayFall, DistributionEvent::PeerVersion { version, .. }) =
             (self.breakage, &event)
         {
             self.nodes[node].broken_policy = Some(*version);
@@ -290,43 +292,43 @@
         }
     }
 
-    fn spread_act(&mut self, node: usize, action: SpreadAction) {
+    fn spread_act(&mut self, node: usize, action: DistributionAction) {
         let sender = NodeKey(node as u64);
         match action {
-            SpreadAction::Send { to, message, .. } => {
-                let event = SpreadEvent::Received { sender, message };
+            DistributionAction::Send { to, message, .. } => {
+                let event = DistributionEvent::Received { sender, message };
                 self.send_peer(node, to.0 as usize, ToNode::Spread(Box::new(event)));
             }
-            SpreadAction::Push { message, .. } => {
+            DistributionAction::Push { message, .. } => {
                 for to in 0..self.nodes.len() {
-                    let event = SpreadEvent::Received {
+                    let event = DistributionEvent::Received {
                         sender,
                         message: message.clone(),
                     };
                     self.send_peer(node, to, ToNode::Spread(Box::new(event)));
                 }
             }
-            SpreadAction::ReadHead => {
+            DistributionAction::ReadHead => {
                 let version = self.platform.version();
                 let answer = self
                     .call()
                     .map(|_| version)
                     .ok_or_else(ReadFailure::default);
-                self.answer_node(node, SpreadEvent::HeadRead(answer));
+                self.answer_node(node, DistributionEvent::HeadRead(answer));
             }
-            SpreadAction::FetchChanges { .. } => {
+            DistributionAction::FetchChanges { .. } => {
                 let version = self.platform.version();
                 let text = placement_text(&self.platform.placement(version));
                 let entries = vec![(Arc::from(DATABASE), Arc::from(text))];
-                let whole = FetchedChanges::Whole { version, entries };
+                let whole = FetchedChanges::FullDocument { version, entries };
                 let answer = self.call().map(|_| whole).ok_or_else(ReadFailure::default);
-                self.answer_node(node, SpreadEvent::ChangesFetched(answer));
+                self.answer_node(node, DistributionEvent::ChangesFetched(answer));
             }
-            SpreadAction::Installed { .. } => {}
+            DistributionAction::Installed { .. } => {}
         }
     }
 
-    fn answer_node(&mut self, node: usize, event: SpreadEvent) {
+    fn answer_node(&mut self, node: usize, event: DistributionEvent) {
         let incarnation = self.nodes[node].incarnation;
         let delay = self.call().unwrap_or(CALL);
         self.after(
--- a/crates/spurpier-core/tests/model/world.rs
+++ b/crates/spurpier-core/tests/model/world.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
+use spurpier_core::distribution::DistributionEvent;
 use spurpier_core::group::ServerStatus;
 use spurpier_core::identity::Side;
-use spurpier_core::spread::SpreadEvent;
 use spurpier_rehearsal::oracle::{Fault, FaultScope, History};
 
 use super::Breakage;
@@ -57,7 +57,7 @@
         peer: usize,
         version: u64,
     },
-    Spread(Box<SpreadEvent>),
+    Spread(Box<DistributionEvent>),
 }
 
 #[derive(Debug)]
--- a/crates/spurpier-core/tests/policy_entries.rs
+++ b/crates/spurpier-core/tests/policy_entries.rs
@@ -3,12 +3,12 @@
 use assert_matches::assert_matches;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
+use spurpier_core::distribution::{Document, difference};
 use spurpier_core::identity::DatabaseName;
 use spurpier_core::policy::{
     INITIAL_PROGRAM, InvalidDocument, MAX_ENTRY_BYTES, MAX_PROGRAM_BYTES, PolicyDocument,
     PolicyHead, PolicyProgram, next_placements, policy_entries, policy_from_entries,
 };
-use spurpier_core::spread::{Document, difference};
 
 const BY_LENGTH: &str =
     r#"fn write_side(d) { if d.len % 2 == 0 { "new" } else { "old" } } fn route(r) { #{} }"#;
@@ -32,7 +32,7 @@
     (head, document)
 }
 
-fn installed(document: &mut Document, (head, policy): &(PolicyHead, PolicyDocument)) {
+fn install(document: &mut Document, (head, policy): &(PolicyHead, PolicyDocument)) {
     let entries = policy_entries(head, policy);
     let delta = difference(document, head.version, &entries);
     document.apply(&delta, 100).expect("newer");
@@ -47,7 +47,7 @@
     })]
 
     #[test]
-    fn policies_survive_the_spread(
+    fn policies_are_restored_from_their_entries(
         first in prop::collection::vec("[a-zA-Z0-9_./ é-]{1,12}", 0..20),
         second in prop::collection::vec("[a-zA-Z0-9_./ é-]{1,12}", 0..20),
     ) {
@@ -55,14 +55,14 @@
         for (version, names, program) in [(1, first, INITIAL_PROGRAM), (4, second, BY_LENGTH)] {
             let databases: Vec<DatabaseName> = names.into_iter().map(DatabaseName::from).collect();
             let policy = published(version, program, &databases);
-            installed(&mut document, &policy);
+            install(&mut document, &policy);
             prop_assert_eq!(policy_from_entries(&document).expect("whole"), policy);
         }
     }
 }
 
 #[test]
-fn what_is_not_whole_is_refused() {
+fn incomplete_entries_are_refused() {
     assert_matches!(
         policy_from_entries(&Document::default()),
         Err(InvalidDocument::Malformed(_))
@@ -72,10 +72,10 @@
     for missing in 0..entries.len() {
         let mut partial = entries.clone();
         partial.remove(missing);
-        let mut spread = Document::default();
-        let delta = difference(&spread, 1, &partial);
-        spread.apply(&delta, 100).expect("newer");
-        assert!(policy_from_entries(&spread).is_err());
+        let mut partial_document = Document::default();
+        let delta = difference(&partial_document, 1, &partial);
+        partial_document.apply(&delta, 100).expect("newer");
+        assert!(policy_from_entries(&partial_document).is_err());
     }
 }
 
--- a/crates/spurpier-core/tests/policy_program.rs
+++ b/crates/spurpier-core/tests/policy_program.rs
@@ -4,7 +4,7 @@
 use spurpier_core::identity::{DatabaseName, Side};
 use spurpier_core::policy::{
     FreshnessDemand, INITIAL_PROGRAM, InvalidDocument, Placement, PolicyDocument, PolicyInForce,
-    PolicyProgram, RequestFacts, StatementKind, check, next_placements,
+    PolicyProgram, RequestAttributes, StatementKind, check, next_placements,
 };
 
 const MIGRATION: &str = r#"
@@ -29,8 +29,8 @@
     vec!["orders".into(), "stock".into()]
 }
 
-fn facts(database: &str, statement: StatementKind) -> RequestFacts {
-    RequestFacts {
+fn attributes(database: &str, statement: StatementKind) -> RequestAttributes {
+    RequestAttributes {
         database: database.into(),
         user: "shop".to_owned(),
         statement,
@@ -52,32 +52,32 @@
 }
 
 #[test]
-fn decides_by_every_fact() {
+fn every_attribute_can_affect_the_decision() {
     let policy = in_force(MIGRATION, 7, &[]);
-    let read = policy.decide(&facts("stock", StatementKind::Read));
+    let read = policy.decide(&attributes("stock", StatementKind::Read));
     assert_eq!(read.side, Side::Old);
     assert_eq!(read.freshness, FreshnessDemand::Session);
     assert!(read.replica_allowed);
     assert_eq!(read.refusal, None);
 
-    let write = policy.decide(&facts("orders", StatementKind::Write));
+    let write = policy.decide(&attributes("orders", StatementKind::Write));
     assert_eq!(write.side, Side::New);
     assert!(!write.replica_allowed);
 
-    let mut report = facts("stock", StatementKind::Write);
+    let mut report = attributes("stock", StatementKind::Write);
     report.class = "report".to_owned();
     assert_eq!(
         policy.decide(&report).refusal.as_deref(),
         Some("reports only read")
     );
 
-    let mut distant = facts("stock", StatementKind::Read);
+    let mut distant = attributes("stock", StatementKind::Read);
     distant.zone = "namur".to_owned();
     let distant = policy.decide(&distant);
     assert_eq!(distant.freshness, FreshnessDemand::Bounded(250));
-    assert_eq!(distant.patience_ms, 40);
+    assert_eq!(distant.max_wait_ms, 40);
 
-    let mut mover = facts("orders", StatementKind::Read);
+    let mut mover = attributes("orders", StatementKind::Read);
     mover.user = "mover".to_owned();
     let mover = policy.decide(&mover);
     assert_eq!(mover.side, Side::Old);
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn syntax_faults_carry_their_place() {
+fn syntax_errors_have_a_position() {
     let findings = PolicyProgram::compile("fn write_side(database) {\n  let = 1;\n}").unwrap_err();
     assert_eq!(findings.len(), 1);
     assert_eq!(findings[0].line, Some(2));
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn check_reports_faults_of_all_databases_and_statements() {
+fn check_reports_errors_of_all_databases_and_statements() {
     let program = r#"
 fn write_side(database) {
     if database == "stock" { "middle" } else { "old" }
@@ -142,11 +142,11 @@
     assert!(text.iter().any(|line| line.contains("unknown_function")));
     let freshness = text.iter().filter(|line| line.contains("`freshnes`"));
     assert_eq!(freshness.count(), 2);
-    let placed = findings
+    let with_position = findings
         .iter()
         .find(|finding| finding.message.contains("unknown_function"))
         .expect("found above");
-    assert_eq!(placed.line, Some(7));
+    assert_eq!(with_position.line, Some(7));
     assert_eq!(check(MIGRATION, &databases()), Vec::new());
     assert_eq!(check(INITIAL_PROGRAM, &databases()), Vec::new());
 }
@@ -155,22 +155,22 @@
 fn a_write_never_leaves_the_write_side() {
     let program = r#"fn write_side(d) { "old" } fn route(r) { #{ side: "new" } }"#;
     let policy = in_force(program, 1, &[]);
-    let read = policy.decide(&facts("stock", StatementKind::Read));
+    let read = policy.decide(&attributes("stock", StatementKind::Read));
     assert_eq!((read.side, read.refusal), (Side::New, None));
-    let write = policy.decide(&facts("stock", StatementKind::Write));
+    let write = policy.decide(&attributes("stock", StatementKind::Write));
     assert_eq!(write.side, Side::Old);
     assert!(write.refusal.is_some());
     assert_eq!(check(program, &databases()).len(), 2);
 }
 
 #[test]
-fn runaway_and_forbidden_programs_are_refused() {
+fn unbounded_and_forbidden_programs_are_refused() {
     let endless = r#"fn write_side(d) { "old" } fn route(r) { loop { } }"#;
     let policy = in_force(endless, 1, &[]);
-    let decision = policy.decide(&facts("stock", StatementKind::Read));
+    let decision = policy.decide(&attributes("stock", StatementKind::Read));
     assert!(decision.refusal.is_some());
     assert_eq!(policy.failures(), 1);
-    policy.decide(&facts("stock", StatementKind::Read));
+    policy.decide(&attributes("stock", StatementKind::Read));
     assert_eq!(policy.failures(), 1, "the refusal is cached");
 
     let growing = r#"fn write_side(d) { "old" }
@@ -201,7 +201,7 @@
     let policy = PolicyInForce::initial(&databases());
     assert_eq!(policy.version(), 0);
     assert!(policy.placement(&"elsewhere".into()).is_none());
-    let decision = policy.decide(&facts("elsewhere", StatementKind::Read));
+    let decision = policy.decide(&attributes("elsewhere", StatementKind::Read));
     assert!(decision.refusal.is_some());
 }
 
@@ -210,7 +210,7 @@
     let policy = in_force(MIGRATION, 7, &[]);
     let uncached = in_force(MIGRATION, 7, &[]);
     for number in 0..20_000 {
-        let mut request = facts("stock", StatementKind::Write);
+        let mut request = attributes("stock", StatementKind::Write);
         request.class = if number % 3 == 0 {
             "report".to_owned()
         } else {
@@ -224,14 +224,14 @@
     }
     assert!(policy.cached_decisions() <= 4096);
     let before = policy.cached_decisions();
-    let mut request = facts("stock", StatementKind::Read);
+    let mut request = attributes("stock", StatementKind::Read);
     request.class = "x".repeat(10_000);
     policy.decide(&request);
     assert_eq!(policy.cached_decisions(), before);
 }
 
 #[test]
-fn documents_survive_encoding_and_refuse_other_bytes() {
+fn documents_round_trip_and_reject_altered_bytes() {
     let document = PolicyDocument {
         version: 3,
         program: MIGRATION.to_owned(),
--- a/crates/spurpier-core/tests/policy_publish.rs
+++ b/crates/spurpier-core/tests/policy_publish.rs
@@ -7,8 +7,8 @@
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 use spurpier_core::identity::DatabaseName;
 use spurpier_core::policy::{
-    HeadRow, PolicyDocument, PolicyHead, Publish, PublishAction, PublishConflict, PublishEvent,
-    PublishOutcome, PublishRequest, ReadFailed, TransactAnswer,
+    HeadRow, PlatformFailure, PolicyDocument, PolicyHead, Publish, PublishAction, PublishConflict,
+    PublishEvent, PublishOutcome, PublishRequest, TransactAnswer,
 };
 
 const OPERATORS: usize = 3;
@@ -105,7 +105,7 @@
     fn accept(&mut self, row_version: u64, head: PolicyHead, fault: Fault) -> TransactAnswer {
         match fault {
             Fault::None => self.transact(row_version, head),
-            Fault::Refused => TransactAnswer::NotDone,
+            Fault::Refused => TransactAnswer::NotApplied,
             Fault::AnswerLost => {
                 self.transact(row_version, head);
                 TransactAnswer::Unknown
@@ -119,27 +119,27 @@
     }
 
     fn answer(&mut self, action: &PublishAction, fault: Fault) -> Option<PublishEvent> {
-        let failed = || ReadFailed {
+        let failure = || PlatformFailure {
             why: "fault".to_owned(),
         };
-        let works = matches!(fault, Fault::None);
+        let succeeds = matches!(fault, Fault::None);
         let event = match action {
             PublishAction::ReadHead => {
-                PublishEvent::Head(works.then(|| self.head.clone()).ok_or_else(failed))
+                PublishEvent::Head(succeeds.then(|| self.head.clone()).ok_or_else(failure))
             }
             PublishAction::ReadHistory { version } => {
                 let row = self.history.get(version).cloned();
-                PublishEvent::History(works.then_some(row).ok_or_else(failed))
+                PublishEvent::History(succeeds.then_some(row).ok_or_else(failure))
             }
             PublishAction::ReadDocument { digest } => {
-                let document = self.documents.get(digest).cloned().filter(|_| works);
-                PublishEvent::Document(document.ok_or_else(failed))
+                let document = self.documents.get(digest).cloned().filter(|_| succeeds);
+                PublishEvent::Document(document.ok_or_else(failure))
             }
             PublishAction::StoreDocument { document, digest } => {
                 if !matches!(fault, Fault::Refused | Fault::EffectAndAnswerLost) {
                     self.documents.insert(digest.clone(), document.clone());
                 }
-                PublishEvent::Stored(works.then_some(()).ok_or_else(failed))
+                PublishEvent::Stored(succeeds.then_some(()).ok_or_else(failure))
             }
             PublishAction::Accept {
                 head_row_version,
@@ -288,7 +288,7 @@
     }
 }
 
-fn fixed_seed() -> Config {
+fn config_with_fixed_seed() -> Config {
     Config {
         cases: 400,
         rng_algorithm: RngAlgorithm::ChaCha,
@@ -299,15 +299,15 @@
 }
 
 prop_state_machine! {
-    #![proptest_config(fixed_seed())]
+    #![proptest_config(config_with_fixed_seed())]
 
     /// Whatever the platform loses, no publication claims what did not happen.
     #[test]
-    fn racing_publications_end_in_one_truth(sequential 1..120 => PublishTest);
+    fn racing_publications_report_only_what_happened(sequential 1..120 => PublishTest);
 }
 
 /// Runs a publication without faults to its end.
-fn run(platform: &mut Platform, request: PublishRequest) -> PublishOutcome {
+fn run_to_completion(platform: &mut Platform, request: PublishRequest) -> PublishOutcome {
     let (mut publish, mut action) = Publish::start(request);
     while let Some(event) = platform.answer(&action, Fault::None) {
         action = publish.step(event);
@@ -328,10 +328,10 @@
 }
 
 #[test]
-fn an_operator_who_lost_the_answer_may_publish_again() {
+fn publishing_again_after_a_lost_answer_is_accepted() {
     let mut platform = Platform::default();
-    let first = run(&mut platform, request("first", 0, 0));
-    let again = run(&mut platform, request("again", 0, 0));
+    let first = run_to_completion(&mut platform, request("first", 0, 0));
+    let again = run_to_completion(&mut platform, request("again", 0, 0));
     assert!(matches!(
         first,
         PublishOutcome::Accepted {
@@ -344,8 +344,8 @@
         PublishOutcome::Accepted { repeated: true, .. }
     ));
     // Also when others have gone on meanwhile.
-    run(&mut platform, request("next", 1, 1));
-    let late = run(&mut platform, request("late", 0, 0));
+    run_to_completion(&mut platform, request("next", 1, 1));
+    let late = run_to_completion(&mut platform, request("late", 0, 0));
     assert!(matches!(
         late,
         PublishOutcome::Accepted { repeated: true, .. }
@@ -354,16 +354,16 @@
 }
 
 #[test]
-fn the_loser_is_told_the_winner() {
+fn the_losing_publication_returns_the_winning_head() {
     let mut platform = Platform::default();
-    run(&mut platform, request("winner", 0, 0));
+    run_to_completion(&mut platform, request("winner", 0, 0));
     let PublishOutcome::Lost(PublishConflict::Winner(winner)) =
-        run(&mut platform, request("loser", 1, 0))
+        run_to_completion(&mut platform, request("loser", 1, 0))
     else {
         panic!("version 1 was taken");
     };
     assert_eq!(winner.publish_id, "winner");
-    let ahead = run(&mut platform, request("ahead", 1, 9));
+    let ahead = run_to_completion(&mut platform, request("ahead", 1, 9));
     assert_eq!(
         ahead,
         PublishOutcome::Lost(PublishConflict::NotReached { current: 1 })
@@ -371,7 +371,7 @@
 }
 
 #[test]
-fn a_faulty_program_is_not_sent() {
+fn an_invalid_program_is_not_sent() {
     let mut faulty = request("faulty", 0, 0);
     faulty.program = "fn write_side(d) { 1 }".to_owned();
     let (_, action) = Publish::start(faulty);
--- a/crates/spurpier-core/tests/spread_document.rs
+++ b/crates/spurpier-core/tests/spread_document.rs
@@ -3,16 +3,17 @@
 use std::sync::Arc;
 
 use proptest::prelude::*;
-use spurpier_core::membership::NodeKey;
-use spurpier_core::spread::{
-    ApplyError, Delta, Document, EntryChange, FetchedChanges, OwnedDocument, ReadFailure, Spread,
-    SpreadAction, SpreadEvent, SpreadMessage, SpreadTuning, difference,
+use spurpier_core::distribution::{
+    ApplyError, Delta, Distribution, DistributionAction, DistributionConfig, DistributionEvent,
+    DistributionMessage, Document, EntryChange, FetchedChanges, OwnedDocument, ReadFailure,
+    difference,
 };
+use spurpier_core::membership::NodeKey;
 use spurpier_core::time::Timestamp;
 use spurpier_core::wire::List;
 
 /// Changes remembered in these tests: few, so that requests reach behind them.
-const REMEMBERED: usize = 4;
+const RETAINED_CHANGES: usize = 4;
 
 fn change(key: u8, value: Option<u8>, version: u64) -> EntryChange {
     EntryChange {
@@ -23,14 +24,14 @@
 }
 
 /// A history of documents, each with the delta that led to it.
-fn history(steps: &[(u8, Option<u8>)]) -> Vec<(Document, Delta)> {
+fn history(changes: &[(u8, Option<u8>)]) -> Vec<(Document, Delta)> {
     let mut document = Document::default();
     let mut versions = Vec::new();
-    for (index, (key, value)) in steps.iter().enumerate() {
+    for (index, (key, value)) in changes.iter().enumerate() {
         let version = index as u64 + 1;
         let delta = document.delta_with(version, vec![change(*key, *value, version)]);
         document
-            .apply(&delta, REMEMBERED)
+            .apply(&delta, RETAINED_CHANGES)
             .expect("the next version applies");
         versions.push((document.clone(), delta));
     }
@@ -44,17 +45,17 @@
         .collect()
 }
 
-fn steps() -> impl Strategy<Value = Vec<(u8, Option<u8>)>> {
+fn changes() -> impl Strategy<Value = Vec<(u8, Option<u8>)>> {
     prop::collection::vec((0u8..5, prop::option::of(0u8..4)), 1..20)
 }
 
 proptest! {
     #[test]
-    fn a_node_never_goes_back_and_ends_at_the_newest(
-        steps in steps(),
+    fn versions_never_decrease_and_reach_the_newest(
+        changes in changes(),
         order in prop::collection::vec((any::<prop::sample::Index>(), any::<prop::sample::Index>()), 0..60),
     ) {
-        let versions = history(&steps);
+        let versions = history(&changes);
         let newest = &versions.last().expect("there is a version").0;
         let mut node = Document::default();
         for (from, to) in order {
@@ -62,9 +63,9 @@
             let (source, direct) = to.get(&versions);
             let since = from.get(&versions).0.version();
             // Either the delta of one version, or what a peer answers to a request.
-            let _ = node.apply(direct, REMEMBERED);
+            let _ = node.apply(direct, RETAINED_CHANGES);
             match source.delta_since(since) {
-                Some(delta) => { let _ = node.apply(&delta, REMEMBERED); }
+                Some(delta) => { let _ = node.apply(&delta, RETAINED_CHANGES); }
                 None => { let _ = node.replace(&source.snapshot()); }
             }
             prop_assert!(node.version() >= before);
@@ -76,7 +77,7 @@
         }
         match newest.delta_since(node.version()) {
             Some(delta) if delta.version > node.version() => {
-                prop_assert_eq!(node.apply(&delta, REMEMBERED), Ok(()));
+                prop_assert_eq!(node.apply(&delta, RETAINED_CHANGES), Ok(()));
             }
             Some(_) => {}
             None => { let _ = node.replace(&newest.snapshot()); }
@@ -85,11 +86,11 @@
     }
 
     #[test]
-    fn the_difference_of_two_documents_leads_from_one_to_the_other(
-        steps in steps(),
+    fn applying_a_difference_produces_the_target_document(
+        changes in changes(),
         from in any::<prop::sample::Index>(),
     ) {
-        let versions = history(&steps);
+        let versions = history(&changes);
         let mut document = from.get(&versions).0.clone();
         let target = &versions.last().expect("there is a version").0;
         let entries: Vec<_> = target
@@ -97,80 +98,89 @@
             .map(|(key, value)| (key.clone(), value.clone()))
             .collect();
         let delta = difference(&document, target.version() + 1, &entries);
-        prop_assert_eq!(document.apply(&delta, REMEMBERED), Ok(()));
+        prop_assert_eq!(document.apply(&delta, RETAINED_CHANGES), Ok(()));
         prop_assert_eq!(contents(&document), contents(target));
         prop_assert_eq!(document.digest(), target.digest());
     }
 }
 
 #[test]
-fn a_delta_with_another_result_is_refused_whole() {
+fn a_delta_with_a_wrong_digest_changes_nothing() {
     let mut document = Document::default();
     let mut delta = document.delta_with(1, vec![change(1, Some(1), 1)]);
     delta.changes = List(vec![change(1, Some(2), 1)]);
     assert_eq!(
-        document.apply(&delta, REMEMBERED),
+        document.apply(&delta, RETAINED_CHANGES),
         Err(ApplyError::DigestMismatch)
     );
     assert_eq!(document, Document::default());
 }
 
-fn spread() -> Spread<OwnedDocument> {
-    Spread::new(
+fn distribution() -> Distribution<OwnedDocument> {
+    Distribution::new(
         OwnedDocument::default(),
-        Arc::new(SpreadTuning::default()),
+        Arc::new(DistributionConfig::default()),
         1,
     )
 }
 
 #[test]
-fn a_new_node_asks_the_first_peer_that_has_a_document_at_once() {
-    let mut node = spread();
+fn a_new_node_immediately_requests_the_document_from_a_peer() {
+    let mut node = distribution();
     let peer = NodeKey(3);
-    let event = SpreadEvent::PeerVersion { peer, version: 9 };
+    let event = DistributionEvent::PeerVersion { peer, version: 9 };
     let actions = node.handle(Timestamp::ZERO, event);
-    let asked = actions.iter().any(|action| {
-        matches!(action, SpreadAction::Send { to, message: SpreadMessage::Want { since: 0 }, .. }
-            if *to == peer)
+    let requested = actions.iter().any(|action| {
+        matches!(
+            action,
+            DistributionAction::Send {
+                to,
+                message: DistributionMessage::Request { since: 0 },
+                ..
+            } if *to == peer
+        )
     });
-    assert!(asked, "{actions:?}");
+    assert!(requested, "{actions:?}");
 }
 
 #[test]
-fn an_old_answer_of_the_platform_changes_nothing() {
+fn an_outdated_platform_answer_changes_nothing() {
     let versions = history(&[(1, Some(1)), (1, Some(2))]);
-    let mut node = spread();
+    let mut node = distribution();
     let deltas = versions.iter().map(|(_, delta)| delta.clone()).collect();
     let now = Timestamp::ZERO;
     node.handle(
         now,
-        SpreadEvent::ChangesFetched(Ok(FetchedChanges::Deltas(deltas))),
+        DistributionEvent::ChangesFetched(Ok(FetchedChanges::Deltas(deltas))),
     );
     assert_eq!(node.version(), 2);
-    let old = FetchedChanges::Whole {
+    let old = FetchedChanges::FullDocument {
         version: 1,
         entries: Vec::new(),
     };
-    let actions = node.handle(now, SpreadEvent::ChangesFetched(Ok(old)));
+    let actions = node.handle(now, DistributionEvent::ChangesFetched(Ok(old)));
     assert_eq!(node.version(), 2);
     assert_eq!(actions, Vec::new());
 }
 
 #[test]
-fn a_watcher_waits_longer_with_each_failure_up_to_the_bound() {
-    let tuning = SpreadTuning::default();
-    let mut node = spread();
+fn a_watcher_backs_off_after_failures_up_to_the_maximum() {
+    let config = DistributionConfig::default();
+    let mut node = distribution();
     let mut now = Timestamp::ZERO;
-    node.handle(now, SpreadEvent::Watching(true));
-    let mut waits = Vec::new();
+    node.handle(now, DistributionEvent::Watching(true));
+    let mut delays = Vec::new();
     for _ in 0..12 {
         now = node.next_deadline();
-        let actions = node.handle(now, SpreadEvent::Tick);
-        assert_eq!(actions, vec![SpreadAction::ReadHead]);
-        node.handle(now, SpreadEvent::HeadRead(Err(ReadFailure::default())));
-        waits.push(node.next_deadline().since(now));
+        let actions = node.handle(now, DistributionEvent::Tick);
+        assert_eq!(actions, vec![DistributionAction::ReadHead]);
+        node.handle(
+            now,
+            DistributionEvent::HeadRead(Err(ReadFailure::default())),
+        );
+        delays.push(node.next_deadline().since(now));
     }
-    assert!(waits.iter().all(|wait| *wait <= tuning.poll_backoff_max));
-    assert!(waits[11] >= tuning.poll_backoff_max / 2);
-    assert!(waits[0] < tuning.poll_backoff_max / 2);
+    assert!(delays.iter().all(|delay| *delay <= config.poll_backoff_max));
+    assert!(delays[11] >= config.poll_backoff_max / 2);
+    assert!(delays[0] < config.poll_backoff_max / 2);
 }
--- a/crates/spurpier-protocol/tests/gossip.rs
+++ b/crates/spurpier-protocol/tests/gossip.rs
@@ -6,11 +6,11 @@
 use assert_matches::assert_matches;
 use proptest::prelude::*;
 use spurpier_core::control::{GossipBody, GossipMessage};
+use spurpier_core::distribution::{Delta, DistributionMessage, EntryChange, Snapshot};
 use spurpier_core::identity::{NodeName, RegionName, ZoneName};
 use spurpier_core::membership::{
     MemberAddresses, MemberIdentity, MemberState, MemberUpdate, MembershipMessage, NodeKey,
 };
-use spurpier_core::spread::{Delta, EntryChange, Snapshot, SpreadMessage};
 use spurpier_core::wire::List;
 use spurpier_protocol::gossip::{GOSSIP_VERSION, InvalidGossip, decode, encode};
 
@@ -76,9 +76,9 @@
         ),
     ];
     let spread = prop_oneof![
-        any::<u64>().prop_map(|since| SpreadMessage::Want { since }),
+        any::<u64>().prop_map(|since| DistributionMessage::Request { since }),
         (any::<[u64; 3]>(), entries()).prop_map(|([base, version, digest], changes)| {
-            SpreadMessage::Changes(Delta {
+            DistributionMessage::Changes(Delta {
                 base,
                 version,
                 digest,
@@ -86,7 +86,7 @@
             })
         }),
         (any::<[u64; 2]>(), entries()).prop_map(|([version, digest], entries)| {
-            SpreadMessage::Whole(Snapshot {
+            DistributionMessage::Snapshot(Snapshot {
                 version,
                 digest,
                 entries,
@@ -157,7 +157,7 @@
     let message = GossipMessage {
         sender: NodeKey(1),
         version: 1,
-        body: GossipBody::Distribution(SpreadMessage::Want { since: 1 }),
+        body: GossipBody::Distribution(DistributionMessage::Request { since: 1 }),
     };
     let mut bytes = encode(&message);
     bytes.push(0);
@@ -177,7 +177,7 @@
     let message = GossipMessage {
         sender: NodeKey(1),
         version: 1,
-        body: GossipBody::Distribution(SpreadMessage::Changes(Delta {
+        body: GossipBody::Distribution(DistributionMessage::Changes(Delta {
             base: 0,
             version: 1,
             digest: 1,
--- a/crates/spurpier-rehearsal/src/hollow/cluster.rs
+++ b/crates/spurpier-rehearsal/src/hollow/cluster.rs
@@ -9,9 +9,9 @@
 use rand::RngExt;
 use rand::rngs::SmallRng;
 use spurpier_core::control::{ControlConfig, ControlNode};
+use spurpier_core::distribution::{Document, OwnedDocument};
 use spurpier_core::identity::{NodeName, RegionName, ZoneName};
 use spurpier_core::membership::{ListedMachine, MemberAddresses, MemberIdentity, NodeKey};
-use spurpier_core::spread::{Document, OwnedDocument};
 use spurpier_core::time::Timestamp;
 
 use super::network::region_of;
--- a/crates/spurpier-rehearsal/src/hollow/faults.rs
+++ b/crates/spurpier-rehearsal/src/hollow/faults.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use spurpier_core::control::ControlEvent;
-use spurpier_core::spread::{FetchedChanges, ReadFailure};
+use spurpier_core::distribution::{FetchedChanges, ReadFailure};
 use spurpier_core::time::Timestamp;
 
 use super::node::MachineNumber;
@@ -190,7 +190,7 @@
         let changes = self.platform.changes_since(since);
         let bytes = match &changes {
             FetchedChanges::Deltas(deltas) => deltas.len() as u64 * (CALL_BYTES + CHANGE_BYTES),
-            FetchedChanges::Whole { entries, .. } => entries.len() as u64 * ENTRY_BYTES,
+            FetchedChanges::FullDocument { entries, .. } => entries.len() as u64 * ENTRY_BYTES,
         };
         let event = ControlEvent::ChangesFetched(Ok(changes));
         let failure = ControlEvent::ChangesFetched(Err(ReadFailure::default()));
--- a/crates/spurpier-rehearsal/src/hollow/platform.rs
+++ b/crates/spurpier-rehearsal/src/hollow/platform.rs
@@ -6,7 +6,9 @@
 
 use rand::RngExt;
 use rand::rngs::SmallRng;
-use spurpier_core::spread::{Delta, Document, EntryChange, FetchedChanges, Snapshot, difference};
+use spurpier_core::distribution::{
+    Delta, Document, EntryChange, FetchedChanges, Snapshot, difference,
+};
 use spurpier_core::time::Timestamp;
 
 /// The version of the document with which every node starts.
@@ -130,7 +132,7 @@
                 .iter()
                 .map(|(key, value)| (key.clone(), value.clone()))
                 .collect();
-            return FetchedChanges::Whole {
+            return FetchedChanges::FullDocument {
                 version: self.head(),
                 entries,
             };
--- a/crates/spurpier-rehearsal/src/hollow/store.rs
+++ b/crates/spurpier-rehearsal/src/hollow/store.rs
@@ -4,7 +4,9 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use spurpier_core::spread::{ApplyError, Delta, Document, DocumentStore, OwnedDocument, Snapshot};
+use spurpier_core::distribution::{
+    ApplyError, Delta, Document, DocumentStore, OwnedDocument, Snapshot,
+};
 
 /// Documents of this many versions back are kept for sharing.
 const SHARED_VERSIONS: u64 = 64;
--- a/crates/spurpier/src/cluster/control/handle.rs
+++ b/crates/spurpier/src/cluster/control/handle.rs
@@ -7,9 +7,9 @@
 use arc_swap::ArcSwap;
 use kameo::prelude::*;
 use spurpier_core::control::{ControlConfig, ControlEvent, ControlNode};
+use spurpier_core::distribution::{DistributionConfig, OwnedDocument};
 use spurpier_core::homes::HomeTable;
 use spurpier_core::membership::{MemberAddresses, MemberIdentity, MembershipConfig};
-use spurpier_core::spread::{OwnedDocument, SpreadTuning};
 use spurpier_protocol::gossip;
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::{mpsc, watch};
@@ -218,9 +218,9 @@
         suspicion_timeout: Duration::from_millis(settings.membership.suspicion_ms),
         ..MembershipConfig::default()
     };
-    let spread = SpreadTuning {
+    let spread = DistributionConfig {
         poll_interval: Duration::from_millis(settings.platform.poll_ms),
-        ..SpreadTuning::default()
+        ..DistributionConfig::default()
     };
     let tuning = ControlConfig {
         membership: Arc::new(membership),
--- a/crates/spurpier/src/cluster/control/platform_reads.rs
+++ b/crates/spurpier/src/cluster/control/platform_reads.rs
@@ -5,9 +5,9 @@
 use arc_swap::ArcSwap;
 use error_stack::Report;
 use spurpier_core::control::ControlEvent;
+use spurpier_core::distribution::{FetchedChanges, ReadFailure};
 use spurpier_core::membership::ListedMachine;
 use spurpier_core::policy::policy_entries;
-use spurpier_core::spread::{FetchedChanges, ReadFailure};
 
 use crate::events::policy::{
     MACHINE_LIST_UNREADABLE, POLICY_DOCUMENT_UNREADABLE, POLICY_HEAD_UNREADABLE,
@@ -59,7 +59,7 @@
         let head = self.store.read_history(version).await?;
         let head = head.ok_or_else(|| Report::new(PolicyStoreError::DocumentMissing))?;
         let document = self.store.read_document(&head.digest).await?;
-        Ok(FetchedChanges::Whole {
+        Ok(FetchedChanges::FullDocument {
             version,
             entries: policy_entries(&head, &document),
         })
--- a/crates/spurpier/src/ingress/unit.rs
+++ b/crates/spurpier/src/ingress/unit.rs
@@ -1,7 +1,7 @@
 //! Units as the ingress side holds them: asking for one, and judging how it ended.
 
 use spurpier_core::identity::{GroupId, RequestKey, Side};
-use spurpier_core::policy::{FreshnessDemand, RequestFacts, StatementKind};
+use spurpier_core::policy::{FreshnessDemand, RequestAttributes, StatementKind};
 use spurpier_core::reason::Reason;
 use spurpier_protocol::unit::{
     Batch, BatchEffect, Freshness, TransactionStatus, UnitInput, UnitKind, UnitRequest, UnitResult,
@@ -108,7 +108,7 @@
         return Err(Refusal::new(Reason::NoPolicy));
     };
     let settings = &shared.context.settings;
-    let facts = RequestFacts {
+    let facts = RequestAttributes {
         database: session.database.clone(),
         user: session.user.clone(),
         statement: if is_write {
@@ -135,7 +135,7 @@
         replica_allowed: decision.replica_allowed && !is_write,
         floor: session.floor(&group_of(session, decision.side)),
         upstream_floor: session.floor(&group_of(session, other_side(decision.side))),
-        patience_ms: decision.patience_ms.min(settings.limits.queue_wait_ms),
+        patience_ms: decision.max_wait_ms.min(settings.limits.queue_wait_ms),
         request_key: None,
         statement_digest: 0,
         settings: session.unit_settings(),
--- a/crates/spurpier/src/policy/publication.rs
+++ b/crates/spurpier/src/policy/publication.rs
@@ -4,7 +4,7 @@
 
 use error_stack::Report;
 use spurpier_core::policy::{
-    Publish, PublishAction, PublishEvent, PublishOutcome, PublishRequest, ReadFailed,
+    PlatformFailure, Publish, PublishAction, PublishEvent, PublishOutcome, PublishRequest,
     TransactAnswer,
 };
 use spurpier_core::retry::Backoff;
@@ -44,8 +44,8 @@
     }
 }
 
-fn readable<T>(answer: Result<T, Report<PolicyStoreError>>) -> Result<T, ReadFailed> {
-    answer.map_err(|report| ReadFailed {
+fn readable<T>(answer: Result<T, Report<PolicyStoreError>>) -> Result<T, PlatformFailure> {
+    answer.map_err(|report| PlatformFailure {
         why: report.current_context().to_string(),
     })
 }
@@ -66,7 +66,9 @@
     }
     tokio::time::sleep(pause).await;
     match error {
-        PolicyStoreError::Platform(error) if !error.effect_is_unknown() => TransactAnswer::NotDone,
+        PolicyStoreError::Platform(error) if !error.effect_is_unknown() => {
+            TransactAnswer::NotApplied
+        }
         _ => TransactAnswer::Unknown,
     }
 }
