--- a/crates/spurpier-core/src/distribution/document.rs
+++ b/crates/spurpier-core/src/distribution/document.rs
@@ -1,4 +1,4 @@
-//! The document of policy and configuration that every node holds.
+//! The versioned document of policy and configuration that every node holds.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -9,14 +9,14 @@
 use super::message::{Delta, EntryChange, Snapshot};
 use crate::wire::List;
 
-/// One entry; a removed entry stays without a value while its change is remembered.
+/// One entry; a removed entry is kept as a tombstone while its change is retained.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Entry {
     value: Option<Arc<str>>,
     changed_in: u64,
 }
 
-/// A change that deltas can still be made of.
+/// A recent change that can be included in a delta.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct RetainedChange {
     key: Arc<str>,
@@ -24,24 +24,26 @@
 }
 
 /// A versioned set of keys and values.
+///
+/// Recent changes are retained, so that a delta can be sent instead of the complete document.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Document {
     version: u64,
     digest: u64,
     entries: BTreeMap<Arc<str>, Entry>,
     recent: VecDeque<RetainedChange>,
-    /// Changes after this version are all remembered.
+    /// All changes after this version are retained.
     retained_since: u64,
 }
 
-/// Why a delta or snapshot was not taken.
+/// Why a delta or snapshot was not applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ApplyError {
-    /// It brings no newer version.
+    /// Its version is not newer than that of the document.
     NotNewer,
-    /// Versions between the document and the delta are missing.
+    /// The delta starts after the version of the document.
     Gap,
-    /// The result would not have the digest that was announced.
+    /// The result would not have the announced digest.
     DigestMismatch,
 }
 
@@ -59,7 +61,7 @@
 impl std::error::Error for ApplyError {}
 
 impl Document {
-    /// The version; 0 before any document is known.
+    /// The version; 0 for the empty initial document.
     pub fn version(&self) -> u64 {
         self.version
     }
@@ -69,23 +71,24 @@
         self.digest
     }
 
-    /// The value of an entry.
+    /// The value of an entry, or `None` if there is no such entry or it was removed.
     pub fn get(&self, key: &str) -> Option<&Arc<str>> {
         self.entries.get(key)?.value.as_ref()
     }
 
-    /// All keys and values in the order of the keys.
+    /// Iterates over all keys and values in the order of the keys.
     pub fn iter(&self) -> impl Iterator<Item = (&Arc<str>, &Arc<str>)> {
         self.entries
             .iter()
             .filter_map(|(key, entry)| Some((key, entry.value.as_ref()?)))
     }
 
-    /// Applies a delta, whole or not at all.
+    /// Applies a delta atomically and retains at most `retained` changes.
     ///
     /// # Errors
     ///
-    /// Refuses what is not newer, what leaves a gap, and what gives another digest than announced.
+    /// If the delta is not newer, starts after this document's version, or does not produce the
+    /// announced digest. The document is then unchanged.
     pub fn apply(&mut self, delta: &Delta, retained: usize) -> Result<(), ApplyError> {
         if delta.version <= self.version {
             return Err(ApplyError::NotNewer);
@@ -105,11 +108,12 @@
         Ok(())
     }
 
-    /// Takes a whole document in place of this one.
+    /// Replaces this document with a snapshot and discards the retained changes.
     ///
     /// # Errors
     ///
-    /// Refuses what is not newer and what does not have the announced digest.
+    /// If the snapshot is not newer or does not have the announced digest. The document is then
+    /// unchanged.
     pub fn replace(&mut self, snapshot: &Snapshot) -> Result<(), ApplyError> {
         if snapshot.version <= self.version {
             return Err(ApplyError::NotNewer);
@@ -136,7 +140,9 @@
         Ok(())
     }
 
-    /// The changes after a version; none when they are not all remembered.
+    /// The changes after version `since`, or `None` if they are no longer all retained.
+    ///
+    /// Always `None` for version 0: a node without a document receives a snapshot.
     pub fn delta_since(&self, since: u64) -> Option<Delta> {
         if since < self.retained_since || since == 0 {
             return None;
@@ -159,7 +165,9 @@
         })
     }
 
-    /// The delta that makes these changes to this document, as a publisher needs it.
+    /// Creates the delta from this document to `version` with the given changes.
+    ///
+    /// A publisher uses it to compute the digest that it announces.
     pub fn delta_with(&self, version: u64, changes: Vec<EntryChange>) -> Delta {
         Delta {
             base: self.version,
@@ -169,7 +177,7 @@
         }
     }
 
-    /// The whole document.
+    /// A snapshot of all entries that have a value.
     pub fn snapshot(&self) -> Snapshot {
         let entries = self
             .entries
@@ -184,11 +192,12 @@
         }
     }
 
-    /// The bytes that the document holds.
+    /// The estimated memory used by the document, in bytes.
     pub fn memory_bytes(&self) -> usize {
-        /// The reference counts in front of a shared text.
+        /// The strong and weak counters that precede the text in an `Arc<str>` allocation.
         const ARC_COUNTERS_BYTES: usize = 2 * size_of::<usize>();
-        /// A B-tree's nodes are filled to two thirds on average.
+        /// The capacity of a B-tree per used slot, as a fraction: nodes are two thirds full on
+        /// average.
         const BTREE_OVERHEAD: (usize, usize) = (3, 2);
         let slot_bytes = size_of::<(Arc<str>, Entry)>() * BTREE_OVERHEAD.0 / BTREE_OVERHEAD.1;
         let entries: usize = self
@@ -237,7 +246,7 @@
         });
     }
 
-    /// Forgets the oldest changes, and the removed entries that go with them.
+    /// Drops the oldest changes above `retained`, together with their tombstones.
     fn trim_changes(&mut self, retained: usize) {
         while self.recent.len() > retained {
             let Some(oldest) = self.recent.pop_front() else {
@@ -254,7 +263,7 @@
     }
 }
 
-/// The delta that leads from a document to a newer content with these entries.
+/// Computes the delta from a document to a newer version with exactly the given entries.
 pub fn difference(from: &Document, version: u64, entries: &[(Arc<str>, Arc<str>)]) -> Delta {
     let wanted: BTreeMap<&str, &Arc<str>> = entries
         .iter()
@@ -279,7 +288,7 @@
     from.delta_with(version, changes)
 }
 
-/// The digest of one entry; a removed one adds nothing.
+/// The contribution of one entry to the document's digest; 0 for a removed entry.
 fn entry_digest(key: &str, value: Option<&str>) -> u64 {
     value.map_or(0, |value| {
         xxh3_64_with_seed(value.as_bytes(), xxh3_64(key.as_bytes()))
@@ -294,21 +303,21 @@
     }
 }
 
-/// Where a node keeps its document.
+/// The storage of a node's document.
 ///
-/// A real node owns it; a simulation of many nodes shares equal documents between them.
+/// A node owns its document; a simulation of many nodes shares equal documents to save memory.
 pub trait DocumentStore {
-    /// The document.
+    /// The stored document.
     fn document(&self) -> &Document;
 
-    /// Applies a delta, whole or not at all.
+    /// Applies a delta atomically and retains at most `retained` changes.
     ///
     /// # Errors
     ///
     /// As [`Document::apply`].
     fn apply(&mut self, delta: &Delta, retained: usize) -> Result<(), ApplyError>;
 
-    /// Takes a whole document in place of the present one.
+    /// Replaces the stored document with a snapshot.
     ///
     /// # Errors
     ///
@@ -316,7 +325,7 @@
     fn replace(&mut self, snapshot: &Snapshot) -> Result<(), ApplyError>;
 }
 
-/// A document that belongs to its node alone.
+/// A [`DocumentStore`] that owns its document.
 #[derive(Debug, Clone, Default)]
 pub struct OwnedDocument(pub Document);
 
--- a/crates/spurpier-core/src/distribution/machine.rs
+++ b/crates/spurpier-core/src/distribution/machine.rs
@@ -1,4 +1,4 @@
-//! The state machine that keeps a node's document at the newest version.
+//! The state machine that keeps a node's document up to date.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,17 +14,19 @@
 use crate::membership::{NodeKey, Transport};
 use crate::time::Timestamp;
 
-/// A read from the platform that failed.
+/// A failed read from the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ReadFailure {
-    /// How long the platform asks to be left alone.
+    /// The minimum delay before the next read that the platform asked for, if any.
     pub retry_after: Option<Duration>,
 }
 
-/// What happens to the spread of documents on a node.
+/// An input of [`Distribution`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DistributionEvent {
-    /// The time of [`Distribution::next_deadline`] has come (or any other time).
+    /// Time has passed.
+    ///
+    /// Must be delivered by [`Distribution::next_deadline`] and may be delivered at any time.
     Tick,
     /// A message arrived.
     Received {
@@ -33,22 +35,22 @@
         /// The message.
         message: DistributionMessage,
     },
-    /// A peer told its version in some message.
+    /// A peer announced its installed version.
     PeerVersion {
         /// The peer.
         peer: NodeKey,
-        /// Its version.
+        /// The version that the peer has installed.
         version: u64,
     },
-    /// This node has become a watcher of its zone, or is one no more.
+    /// Whether this node is now a watcher of its zone.
     Watching(bool),
-    /// The answer to [`DistributionAction::ReadHead`]: the version of the head.
+    /// The result of [`DistributionAction::ReadHead`]: the version of the head.
     HeadRead(Result<u64, ReadFailure>),
-    /// The answer to [`DistributionAction::FetchChanges`].
+    /// The result of [`DistributionAction::FetchChanges`].
     ChangesFetched(Result<FetchedChanges, ReadFailure>),
 }
 
-/// What the caller has to do.
+/// An operation that the caller of [`Distribution::handle`] must perform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DistributionAction {
     /// Send a message to one peer.
@@ -57,45 +59,51 @@
         to: NodeKey,
         /// The message.
         message: DistributionMessage,
-        /// How it travels.
+        /// The transport to use.
         transport: Transport,
     },
     /// Send a message to random peers.
     Push {
-        /// How many in the own zone.
+        /// The number of recipients in the node's own zone.
         own_zone: usize,
-        /// How many in other zones.
+        /// The number of recipients in other zones.
         other_zones: usize,
         /// The message.
         message: DistributionMessage,
-        /// How it travels.
+        /// The transport to use.
         transport: Transport,
     },
-    /// Read the head from the platform; answer with [`DistributionEvent::HeadRead`] in any case.
+    /// Read the head from the platform.
+    ///
+    /// The caller always responds with [`DistributionEvent::HeadRead`], also after a failure.
     ReadHead,
-    /// Read the changes after `since` up to the head, or the whole document when there are too
-    /// many; answer with [`DistributionEvent::ChangesFetched`] in any case.
+    /// Read the changes after `since` up to the head, or the complete document if there are too
+    /// many of them.
+    ///
+    /// The caller always responds with [`DistributionEvent::ChangesFetched`], also after a
+    /// failure.
     FetchChanges {
-        /// The version that this node has.
+        /// The version that this node has installed.
         since: u64,
         /// The version of the head that was read.
         head: u64,
     },
-    /// A newer version is in force on this node.
+    /// A newer version was installed on this node.
     Installed {
         /// The version.
         version: u64,
     },
 }
 
-/// A request for changes that is to be sent.
+/// A scheduled request for changes to a peer.
 #[derive(Debug, Clone, Copy)]
 struct Repair {
     peer: NodeKey,
     due: Timestamp,
 }
 
-/// The spread of documents as one node takes part in it.
+/// Keeps the document of one node up to date by gossip and, on a watcher, by polling the
+/// platform.
 #[derive(Debug, Clone)]
 pub struct Distribution<S> {
     store: S,
@@ -105,15 +113,17 @@
     newest_known_version: u64,
     repair: Option<Repair>,
     repair_backoff: Duration,
-    /// No request for changes leaves before this time.
+    /// The earliest time for the next request for changes.
     repair_not_before: Timestamp,
-    /// A delta did not give the announced digest: only a whole document helps.
+    /// A delta did not produce the announced digest, so a snapshot is required.
     needs_snapshot: bool,
     actions: Vec<DistributionAction>,
 }
 
 impl<S: DocumentStore> Distribution<S> {
-    /// A node that holds the document of `store`.
+    /// Creates the state of a node that has installed the document in `store`.
+    ///
+    /// `seed` initializes the generator for jitter and choices between peers.
     pub fn new(store: S, config: Arc<DistributionConfig>, seed: u64) -> Self {
         let repair_backoff = config.repair_interval;
         Distribution {
@@ -130,22 +140,24 @@
         }
     }
 
-    /// The document in force.
+    /// The installed document.
     pub fn document(&self) -> &Document {
         self.store.document()
     }
 
-    /// The version in force.
+    /// The version of the installed document; 0 if there is none.
     pub fn version(&self) -> u64 {
         self.store.document().version()
     }
 
-    /// The bytes of state that this node holds for the spread, the document included.
+    /// The estimated memory used by this state and the document, in bytes.
     pub fn memory_bytes(&self) -> usize {
         size_of::<Self>() - size_of::<S>() + self.store.document().memory_bytes()
     }
 
-    /// When [`DistributionEvent::Tick`] is due at the latest.
+    /// The time by which [`DistributionEvent::Tick`] must be delivered.
+    ///
+    /// The maximum timestamp if nothing is scheduled.
     pub fn next_deadline(&self) -> Timestamp {
         let repair = self.repair.map(|repair| repair.due);
         let watcher = self.watcher.next_deadline();
@@ -156,7 +168,7 @@
             .unwrap_or(Timestamp::from_micros(u64::MAX))
     }
 
-    /// Takes an event at time `now` and gives what is to be done.
+    /// Handles an event at time `now` and returns the actions to perform.
     pub fn handle(&mut self, now: Timestamp, event: DistributionEvent) -> Vec<DistributionAction> {
         match event {
             DistributionEvent::Tick => {}
@@ -198,14 +210,16 @@
         }
     }
 
-    /// Notes a peer's version; a newer one is asked for unless it arrives by itself soon.
+    /// Records the version of a peer and schedules a request if it is newer.
+    ///
+    /// The request is dropped if the version arrives before it is due.
     fn record_peer_version(&mut self, now: Timestamp, peer: NodeKey, version: u64) {
         self.newest_known_version = self.newest_known_version.max(version);
         if version <= self.version() {
             return;
         }
         if let Some(repair) = &mut self.repair {
-            // A request that has to wait goes to any of those heard of meanwhile.
+            // A pending request goes to a random one of the peers that announced a newer version.
             if self.random.random() {
                 repair.peer = peer;
             }
@@ -298,7 +312,7 @@
         self.actions.push(DistributionAction::Installed { version });
     }
 
-    /// Passes a delta on to a few random peers.
+    /// Pushes a delta to a few random peers, unless it is larger than `push_bytes`.
     fn push(&mut self, delta: Delta) {
         let message = DistributionMessage::Changes(delta);
         let bytes = message.serialize_bin().len();
--- a/crates/spurpier-core/src/distribution/message.rs
+++ b/crates/spurpier-core/src/distribution/message.rs
@@ -1,4 +1,4 @@
-//! The messages by which versions of the document travel.
+//! Messages that carry versions of the document between nodes.
 
 use std::sync::Arc;
 
@@ -6,14 +6,14 @@
 
 use crate::wire::{List, decode_long_text, decode_text, encode_long_text, encode_text};
 
-/// One entry's new value.
+/// The new value of one entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EntryChange {
     /// The entry's key.
     pub key: Arc<str>,
-    /// Its value; none when the entry was removed.
+    /// The new value, or `None` if the entry was removed.
     pub value: Option<Arc<str>>,
-    /// The version in which it changed last.
+    /// The version of the document that last changed the entry.
     pub changed_in: u64,
 }
 
@@ -44,54 +44,54 @@
     }
 }
 
-/// All changes after one version up to another.
+/// All changes after one version of the document up to another.
 #[derive(Debug, Clone, PartialEq, Eq, SerBin, DeBin)]
 pub struct Delta {
-    /// The delta can be applied to this version and every later one.
+    /// The lowest version to which the delta can be applied.
     pub base: u64,
-    /// The version that results.
+    /// The version after the delta is applied.
     pub version: u64,
-    /// The content digest of the document that results.
+    /// The content digest of the document at `version`.
     pub digest: u64,
-    /// The entries that changed after `base`.
+    /// The latest change of each entry that changed after `base`.
     pub changes: List<EntryChange>,
 }
 
-/// A whole document.
+/// A complete document at one version.
 #[derive(Debug, Clone, PartialEq, Eq, SerBin, DeBin)]
 pub struct Snapshot {
-    /// Its version.
+    /// The version of the document.
     pub version: u64,
-    /// Its content digest.
+    /// The content digest of the document.
     pub digest: u64,
-    /// All entries.
+    /// All entries that have a value.
     pub entries: List<EntryChange>,
 }
 
-/// What a watcher read from the platform after a newer head.
+/// The result of fetching from the platform the changes up to a newer head.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FetchedChanges {
-    /// The deltas of the missing versions, in order.
+    /// The deltas of the missing versions, in ascending order.
     Deltas(Vec<Delta>),
-    /// The whole document as keys and values.
+    /// All keys and values of a version.
     FullDocument {
-        /// Its version.
+        /// The version of the document.
         version: u64,
-        /// Its entries.
+        /// The keys and values.
         entries: Vec<(Arc<str>, Arc<str>)>,
     },
 }
 
-/// A message about versions of the document.
+/// A message that requests or carries a version of the document.
 #[derive(Debug, Clone, PartialEq, Eq, SerBin, DeBin)]
 pub enum DistributionMessage {
-    /// Changes, unasked or as the answer to [`DistributionMessage::Request`].
+    /// Changes, either pushed or in response to [`DistributionMessage::Request`].
     Changes(Delta),
-    /// Asks for all changes after this version; 0 asks for a whole document.
+    /// Requests all changes after a version.
     Request {
-        /// The asker's version.
+        /// The version of the requesting node; 0 requests a snapshot.
         since: u64,
     },
-    /// A whole document, as the answer when the changes are not known any more.
+    /// A complete document, in response to a request for changes that are no longer retained.
     Snapshot(Snapshot),
 }
--- a/crates/spurpier-core/src/distribution/mod.rs
+++ b/crates/spurpier-core/src/distribution/mod.rs
@@ -1,8 +1,8 @@
-//! How policy and configuration reach every node.
+//! Distribution of policy and configuration to every node by gossip.
 //!
-//! Two nodes of each zone, chosen by rank, read the platform. What they learn travels as deltas:
-//! each node that installs a version passes it to a few others, and nodes that missed it ask for
-//! it as soon as they hear of a newer version. Versions only rise.
+//! In each zone a few nodes, the watchers, poll the platform. A node that installs a new version
+//! pushes the delta to a few random peers. A node that missed it requests it from a peer that
+//! announces a newer version. The installed version never decreases.
 //! `docs/design/0009-spread.md` gives the reasons.
 
 mod document;
--- a/crates/spurpier-core/src/distribution/settings.rs
+++ b/crates/spurpier-core/src/distribution/settings.rs
@@ -1,33 +1,38 @@
-//! The rates, times and bounds of the spread of documents.
+//! Intervals, fan-out and size limits of the distribution of documents.
 
 use std::time::Duration;
 
-/// The rates, times and bounds of the spread of documents.
+/// Intervals, fan-out and size limits of the distribution of documents.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DistributionConfig {
-    /// How many nodes of each zone read the platform.
+    /// The number of nodes in each zone that poll the platform.
     pub watchers_per_zone: usize,
-    /// The time between two reads of the head by one watcher.
+    /// The time between two reads of the head by one watcher, before jitter.
     pub poll_interval: Duration,
-    /// The longest wait of a watcher between reads while the platform fails.
+    /// The maximum delay between a watcher's reads while the platform fails, unless the platform
+    /// asks for a longer one.
     pub poll_backoff_max: Duration,
-    /// How long a watcher that sees a newer head leaves gossip the chance to bring it first.
+    /// The maximum random delay between reading a newer head and fetching its changes.
+    ///
+    /// If gossip delivers the version within this time, the fetch is skipped.
     pub fetch_delay: Duration,
-    /// To how many nodes of the own zone a newly installed version is passed.
+    /// The number of peers in the same zone to which a newly installed version is pushed.
     pub own_zone_fan_out: usize,
-    /// To how many nodes of other zones a newly installed version is passed.
+    /// The number of peers in other zones to which a newly installed version is pushed.
     pub other_zone_fan_out: usize,
-    /// How long a node that hears of a newer version waits for it before it asks.
+    /// How long a node waits for a newer version to be pushed before it requests it from a peer.
     pub repair_delay: Duration,
-    /// The time after which an unanswered request for changes is made again.
+    /// The initial delay before an unanswered request for changes is retried.
     pub repair_interval: Duration,
-    /// The longest wait between requests for changes that stay unanswered.
+    /// The maximum delay between retries of an unanswered request, before jitter.
     pub repair_backoff_max: Duration,
-    /// How many recent changes are remembered, to answer requests with deltas.
+    /// The number of recent changes that are retained to answer requests with deltas.
     pub retained_changes: usize,
-    /// Messages above this size, in bytes, travel over a connection.
+    /// The maximum size of a datagram, in bytes; larger messages are sent over a connection.
     pub datagram_bytes: usize,
-    /// Changes above this size, in bytes, are not passed on unasked: peers ask for them once.
+    /// The maximum size of a pushed delta, in bytes.
+    ///
+    /// Peers request larger deltas, so that each of them receives such a delta only once.
     pub push_bytes: usize,
 }
 
--- a/crates/spurpier-core/src/distribution/watcher.rs
+++ b/crates/spurpier-core/src/distribution/watcher.rs
@@ -1,4 +1,4 @@
-//! When a watcher reads the platform.
+//! The schedule by which a watcher reads the platform.
 
 use std::time::Duration;
 
@@ -8,22 +8,22 @@
 use super::settings::DistributionConfig;
 use crate::time::Timestamp;
 
-/// The reading schedule of one node; idle unless the node is a watcher of its zone.
+/// The polling schedule of one node; inactive unless the node is a watcher of its zone.
 #[derive(Debug, Clone)]
 pub(super) struct Watcher {
     active: bool,
     next_poll: Timestamp,
     poll_outstanding: bool,
     failures: u32,
-    /// A newer head was read; its changes are fetched at this time unless gossip brings them.
+    /// When to fetch the changes of a newer head, unless gossip delivers them earlier.
     fetch_at: Option<Timestamp>,
     fetch_outstanding: bool,
-    /// The newest version that the platform has told of.
+    /// The newest head version that was read from the platform.
     pub(super) head: u64,
 }
 
 impl Watcher {
-    /// An idle schedule.
+    /// Creates an inactive schedule.
     pub(super) fn new() -> Self {
         Watcher {
             active: false,
@@ -36,7 +36,10 @@
         }
     }
 
-    /// Makes the node a watcher, or none; a new watcher reads at a random moment of an interval.
+    /// Starts or stops polling.
+    ///
+    /// The first poll comes after a random part of the interval, so that watchers that start
+    /// together do not poll together.
     pub(super) fn set_active(
         &mut self,
         now: Timestamp,
@@ -51,7 +54,7 @@
         self.active = active;
     }
 
-    /// When something is due.
+    /// The time of the next poll or fetch, or `None` if neither is scheduled.
     pub(super) fn next_deadline(&self) -> Option<Timestamp> {
         let poll = (self.active && !self.poll_outstanding).then_some(self.next_poll);
         let fetch = match self.fetch_outstanding {
@@ -61,14 +64,15 @@
         [poll, fetch].into_iter().flatten().min()
     }
 
-    /// Whether the head is to be read now; the caller then reads it.
+    /// Returns whether a poll is due, and marks it as outstanding; the caller then reads the head.
     pub(super) fn start_due_poll(&mut self, now: Timestamp) -> bool {
         let due = self.active && !self.poll_outstanding && self.next_poll <= now;
         self.poll_outstanding |= due;
         due
     }
 
-    /// Whether changes are to be fetched now for a node of this version.
+    /// Returns whether a fetch is due for a node that has installed `version`, and marks it as
+    /// outstanding.
     pub(super) fn start_due_fetch(&mut self, now: Timestamp, version: u64) -> bool {
         if version >= self.head {
             self.fetch_at = None;
@@ -81,7 +85,9 @@
         due
     }
 
-    /// Notes an answer with the head's version.
+    /// Records the version of the head that was read and schedules the next poll.
+    ///
+    /// Schedules a fetch if the head is newer than `version`, the installed version.
     pub(super) fn record_head_read(
         &mut self,
         now: Timestamp,
@@ -99,7 +105,7 @@
         }
     }
 
-    /// Notes that a read of the head failed: the next one waits longer.
+    /// Records a failed read of the head and schedules the next poll with backoff.
     pub(super) fn record_read_failure(
         &mut self,
         now: Timestamp,
@@ -112,7 +118,10 @@
         self.next_poll = now + delay;
     }
 
-    /// Notes the end of a fetch; a failed one is tried again after a wait.
+    /// Records the end of a fetch and schedules a retry with backoff if it failed.
+    ///
+    /// `failure` is `None` after a success, and otherwise holds the delay that the platform asked
+    /// for, if any.
     pub(super) fn record_fetch(
         &mut self,
         now: Timestamp,
@@ -127,14 +136,17 @@
         }
     }
 
-    /// A wait that doubles with each failure, at least half of it kept and the rest random.
+    /// The delay before the next attempt: doubles with each failure, with half of it as jitter.
+    ///
+    /// The result is never shorter than `retry_after`.
     fn next_backoff(
         &mut self,
         retry_after: Option<Duration>,
         config: &DistributionConfig,
         random: &mut SmallRng,
     ) -> Duration {
-        /// Doublings after which the wait is at its bound in any case.
+        /// Limits the exponent, so that the multiplication cannot overflow; the delay has reached
+        /// its maximum by then.
         const MAX_DOUBLINGS: u32 = 10;
         self.failures = (self.failures + 1).min(MAX_DOUBLINGS);
         let doubled = config.poll_interval * 2u32.pow(self.failures);
@@ -148,7 +160,7 @@
     Duration::from_micros(random.random_range(0..=max.as_micros() as u64))
 }
 
-/// An interval with a tenth of jitter.
+/// Adds a jitter of up to a tenth of the interval in both directions.
 fn with_jitter(random: &mut SmallRng, interval: Duration) -> Duration {
     interval * 9 / 10 + random_up_to(random, interval / 5)
 }
--- a/crates/spurpier-core/src/policy/cache.rs
+++ b/crates/spurpier-core/src/policy/cache.rs
@@ -1,4 +1,4 @@
-//! A bounded cache of decisions, shared between tasks.
+//! A bounded cache of policy decisions, shared between tasks.
 
 use std::collections::HashMap;
 use std::hash::{BuildHasher, RandomState};
@@ -9,15 +9,17 @@
 const SHARDS: usize = 16;
 const ENTRIES_PER_SHARD: usize = 256;
 
-/// Facts with longer texts than this are not kept, so that the cache is bounded in bytes too.
+/// Requests whose user and class are longer than this together are not cached, so that the cache
+/// is also bounded in bytes.
 const MAX_KEY_TEXT_BYTES: usize = 256;
 
 type Shard = RwLock<HashMap<RequestAttributes, Decision>>;
 
-/// Remembers decisions by the facts that led to them.
+/// Caches decisions by request attributes.
 ///
-/// A full shard is emptied: the decisions are cheap to make again, and clients that vary their
-/// class or user can neither grow the cache nor keep it busy with an order of use.
+/// A full shard is cleared instead of evicting in LRU order: decisions are cheap to evaluate
+/// again, and clients that vary their class or user can neither grow the cache nor cause work for
+/// tracking the order of use.
 #[derive(Debug)]
 pub(super) struct DecisionCache {
     hasher: RandomState,
--- a/crates/spurpier-core/src/policy/check.rs
+++ b/crates/spurpier-core/src/policy/check.rs
@@ -1,11 +1,12 @@
-//! Checking a policy program before it is published.
+//! Checks a policy program before it is published.
 
 use super::{Finding, PolicyProgram, RequestAttributes, StatementKind};
 use crate::identity::{DatabaseName, Side};
 
 /// Compiles a program and evaluates it for each database and both kinds of statement.
 ///
-/// Gives every fault found, in the order of the text and each once; none for a sound program.
+/// Returns all errors in the order of their positions, without duplicates, or an empty list for a
+/// valid program.
 pub fn check(text: &str, databases: &[DatabaseName]) -> Vec<Finding> {
     let program = match PolicyProgram::compile(text) {
         Ok(program) => program,
@@ -49,7 +50,7 @@
     findings
 }
 
-/// Adds the database to a fault's message.
+/// Adds the name of the database to the message of a finding.
 fn for_database(mut finding: Finding, database: &DatabaseName) -> Finding {
     finding.message = format!("{} (database `{database}`)", finding.message);
     finding
--- a/crates/spurpier-core/src/policy/document.rs
+++ b/crates/spurpier-core/src/policy/document.rs
@@ -1,4 +1,5 @@
-//! The published form of a policy, its digest and its place on the platform.
+//! The published form of a policy, its digest, and the rows and objects that store it on the
+//! platform.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -9,63 +10,63 @@
 use super::{Finding, Placement, PolicyProgram};
 use crate::identity::{DatabaseName, Side};
 
-/// The row of the table service that names the accepted policy.
+/// The key of the row that names the accepted policy in the platform's table service.
 pub const HEAD_KEY: &str = "policy/head";
 
-/// The prefix of the rows that hold each accepted head.
+/// The key prefix of the rows that hold the head of each accepted version.
 pub const HISTORY_PREFIX: &str = "policy/history/";
 
-/// The row that holds the head of an accepted version; the keys sort by version.
+/// The key of the row that holds the head of an accepted version; keys sort by version.
 pub fn history_key(version: u64) -> String {
     format!("{HISTORY_PREFIX}{version:010}")
 }
 
-/// The object that holds the document with this digest.
+/// The name of the object that holds the document with this digest.
 pub fn object_name(digest: &str) -> String {
     format!("policy/{digest}")
 }
 
-/// Names an accepted policy.
+/// Identifies an accepted version of the policy.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PolicyHead {
     /// The version.
     pub version: u64,
-    /// The digest of the document.
+    /// The digest of the document, in hex.
     pub digest: String,
-    /// The publication that was accepted.
+    /// The identifier of the publication that was accepted.
     pub publish_id: String,
 }
 
 impl PolicyHead {
-    /// The head as the text of a row.
+    /// Encodes the head as the JSON text of a row.
     pub fn to_text(&self) -> String {
-        // A struct of a number and texts always has a JSON form.
+        // Serialization cannot fail: the struct holds only a number and strings.
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// Reads a head from the text of a row.
+    /// Decodes a head from the JSON text of a row.
     ///
     /// # Errors
     ///
-    /// When the text is no head.
+    /// [`InvalidDocument::Malformed`] if the text is not a head.
     pub fn from_text(text: &str) -> Result<PolicyHead, InvalidDocument> {
         serde_json::from_str(text).map_err(|error| InvalidDocument::Malformed(error.to_string()))
     }
 }
 
-/// Why bytes are no valid policy document.
+/// Why a policy head or document is not valid.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum InvalidDocument {
-    /// They are not of the document's form.
+    /// It cannot be decoded; holds the cause.
     Malformed(String),
-    /// They are not those that the head names.
+    /// It does not have the digest that its head names.
     WrongDigest {
         /// The digest that the head names.
         expected: String,
-        /// The digest of the bytes.
+        /// The digest of the document.
         found: String,
     },
-    /// The program does not compile.
+    /// The program does not compile; holds its errors.
     InvalidProgram(Vec<Finding>),
 }
 
@@ -74,10 +75,10 @@
         match self {
             InvalidDocument::Malformed(why) => write!(formatter, "malformed: {why}"),
             InvalidDocument::WrongDigest { expected, found } => {
-                write!(formatter, "its digest is {found}, not {expected}")
+                write!(formatter, "its digest is {found}, expected {expected}")
             }
             InvalidDocument::InvalidProgram(findings) => {
-                write!(formatter, "its program has {} faults", findings.len())
+                write!(formatter, "its program has {} errors", findings.len())
             }
         }
     }
@@ -85,29 +86,30 @@
 
 impl std::error::Error for InvalidDocument {}
 
-/// What is published: a version, the program's text and the placements that follow from it.
+/// The published form of a policy: a version, the text of the program and the placements that
+/// result from it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PolicyDocument {
-    /// The version, which only rises.
+    /// The version, which increases by one with each accepted policy.
     pub version: u64,
-    /// The program's text.
+    /// The text of the program.
     pub program: String,
-    /// Where each database's writes go.
+    /// The side that accepts the writes of each database, ordered by database.
     pub placements: Vec<Placement>,
 }
 
 impl PolicyDocument {
-    /// The document as the bytes of an object.
+    /// Encodes the document as the JSON bytes of an object.
     pub fn encode(&self) -> Vec<u8> {
-        // A struct of numbers and texts always has a JSON form.
+        // Serialization cannot fail: the struct holds only numbers, strings and enum variants.
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// Reads a document from the bytes of the object that `digest` names.
+    /// Decodes a document from the bytes of the object with this digest.
     ///
     /// # Errors
     ///
-    /// When the digest is another one or the bytes are no document.
+    /// If the bytes have another digest or are not a document.
     pub fn decode(bytes: &[u8], digest: &str) -> Result<PolicyDocument, InvalidDocument> {
         let found = digest_of(bytes);
         if found != digest {
@@ -119,7 +121,7 @@
         serde_json::from_slice(bytes).map_err(|error| InvalidDocument::Malformed(error.to_string()))
     }
 
-    /// The document's digest in hex.
+    /// The digest of the encoded document, in hex.
     pub fn digest(&self) -> String {
         digest_of(&self.encode())
     }
@@ -129,18 +131,18 @@
     format!("{:032x}", xxh3_128(bytes))
 }
 
-/// The placements of a new version, from those of the version before.
+/// Computes the placements of a new version from those of the previous version.
 ///
-/// A database that was placed before and is not among `databases` stays placed: were it left out,
-/// its epoch would be lost and a later policy could not open its fence.
+/// A database that was placed before stays placed even if it is not among `databases`. Otherwise
+/// its epoch would be lost, and a later policy could not open its fence.
 ///
-/// A database keeps its epoch while its side stays, and gets the new version as its epoch when
-/// the side changes. One that was not placed before starts at epoch 0 on the old side, as the
-/// fence of a fresh group stands at 0, and at the new version on the new side.
+/// A database keeps its epoch while its side is unchanged. When the side changes, the epoch
+/// becomes the new version. A database without a previous placement starts at epoch 0 on the old
+/// side, because the fence of a new group is at epoch 0, and at the new version on the new side.
 ///
 /// # Errors
 ///
-/// All faults of the program's `write_side`.
+/// All errors of the program's `write_side` function.
 pub fn next_placements(
     previous: &[Placement],
     program: &PolicyProgram,
--- a/crates/spurpier-core/src/policy/entries.rs
+++ b/crates/spurpier-core/src/policy/entries.rs
@@ -1,7 +1,7 @@
-//! A policy as entries of the document that spreads between nodes.
+//! Conversion between a policy and entries of the document that is distributed to all nodes.
 //!
-//! The program is one entry and each placement another one, so that a policy that moves one
-//! database travels as a small delta.
+//! The head, the program and each placement are separate entries, so that a policy that moves one
+//! database is distributed as a small delta.
 
 use std::sync::Arc;
 
@@ -9,14 +9,14 @@
 use crate::distribution::Document;
 use crate::identity::{DatabaseName, Side};
 
-/// The greatest length of one entry's value, in bytes; a program is shorter.
+/// The maximum size of an entry's value, in bytes; programs are limited to less.
 pub const MAX_ENTRY_BYTES: usize = u16::MAX as usize;
 
 const HEAD_ENTRY: &str = "policy/head";
 const PROGRAM_ENTRY: &str = "policy/program";
 const PLACEMENT_PREFIX: &str = "policy/placement/";
 
-/// The entries of an accepted policy.
+/// Converts an accepted policy to entries.
 pub fn policy_entries(head: &PolicyHead, document: &PolicyDocument) -> Vec<(Arc<str>, Arc<str>)> {
     let placements = document.placements.iter().map(|placement| {
         let key = format!("{PLACEMENT_PREFIX}{}", placement.database);
@@ -31,17 +31,18 @@
     [head, program].into_iter().chain(placements).collect()
 }
 
-/// The accepted policy in a document; its digest is that of the head.
+/// Restores the accepted policy from the entries of a document and verifies its digest.
 ///
 /// # Errors
 ///
-/// When an entry is missing or malformed, or the whole has another digest.
+/// If an entry is missing or malformed, or the policy does not have the digest that the head names.
 pub fn policy_from_entries(
     entries: &Document,
 ) -> Result<(PolicyHead, PolicyDocument), InvalidDocument> {
     let head = PolicyHead::from_text(require_entry(entries, HEAD_ENTRY)?)?;
     let program = require_entry(entries, PROGRAM_ENTRY)?.to_owned();
-    // Entries come in the order of their keys, as the placements of a document do.
+    // Entries are ordered by key and thus by database, like the placements of a policy document.
+    // Any other order would change the digest.
     let placements = entries
         .iter()
         .filter_map(|(key, value)| Some((key.strip_prefix(PLACEMENT_PREFIX)?, value)))
@@ -71,7 +72,8 @@
 }
 
 fn parse_placement(database: &str, value: &str) -> Result<Placement, InvalidDocument> {
-    let malformed = || InvalidDocument::Malformed(format!("the placement of {database}: {value}"));
+    let malformed =
+        || InvalidDocument::Malformed(format!("invalid placement of {database}: {value}"));
     let (side, epoch) = value.split_once(' ').ok_or_else(malformed)?;
     let side = match side {
         "old" => Side::Old,
--- a/crates/spurpier-core/src/policy/finding.rs
+++ b/crates/spurpier-core/src/policy/finding.rs
@@ -1,22 +1,22 @@
-//! Faults found in a policy program, each with its place.
+//! Errors found in a policy program, with their positions.
 
 use std::fmt;
 
 use rhai::Position;
 
-/// One fault in a policy program.
+/// One error in a policy program.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Finding {
-    /// The line, from 1; none when the fault has no place in the text.
+    /// The line, counted from 1, or `None` if the error has no position in the text.
     pub line: Option<usize>,
-    /// The column in characters, from 1; none at the start of a line.
+    /// The column in characters, counted from 1, or `None` at the start of a line.
     pub column: Option<usize>,
-    /// What is wrong.
+    /// The error message, without the position.
     pub message: String,
 }
 
 impl Finding {
-    /// A fault of the program as a whole.
+    /// Creates a finding that applies to the program as a whole.
     pub fn without_position(message: impl Into<String>) -> Self {
         Finding {
             line: None,
--- a/crates/spurpier-core/src/policy/in_force.rs
+++ b/crates/spurpier-core/src/policy/in_force.rs
@@ -1,4 +1,4 @@
-//! An accepted policy, ready to decide.
+//! A compiled policy that decides requests.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,7 +10,7 @@
 };
 use crate::identity::{DatabaseName, Side};
 
-/// The program to start from: all databases on the old side, reads on replicas.
+/// The default program: all databases on the old side, reads allowed on replicas.
 pub const INITIAL_PROGRAM: &str = r#"// Where each database's writes go: "old" or "new".
 fn write_side(database) {
     "old"
@@ -22,7 +22,7 @@
 }
 "#;
 
-/// An accepted policy, ready to decide; immutable and shared between tasks.
+/// A compiled policy that decides requests; immutable and shared between tasks.
 #[derive(Debug)]
 pub struct PolicyInForce {
     version: u64,
@@ -33,9 +33,9 @@
 }
 
 impl PolicyInForce {
-    /// [`INITIAL_PROGRAM`] at version 0, for tests and trials.
+    /// Creates a policy with [`INITIAL_PROGRAM`] at version 0, for tests and benchmarks.
     ///
-    /// A node never takes it up by itself: without an accepted policy it serves nothing.
+    /// A node never uses it by default: without an accepted policy, a node serves no requests.
     pub fn initial(databases: &[DatabaseName]) -> Self {
         let document = PolicyDocument {
             version: 0,
@@ -52,11 +52,11 @@
         PolicyInForce::from_document(&document).expect("the initial program compiles")
     }
 
-    /// Makes a document ready to decide.
+    /// Compiles the program of a policy document.
     ///
     /// # Errors
     ///
-    /// When its program does not compile.
+    /// [`InvalidDocument::InvalidProgram`] if the program does not compile.
     pub fn from_document(document: &PolicyDocument) -> Result<Self, InvalidDocument> {
         let program =
             PolicyProgram::compile(&document.program).map_err(InvalidDocument::InvalidProgram)?;
@@ -74,14 +74,14 @@
         })
     }
 
-    /// The version, which only rises.
+    /// The version of the policy document.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Decides a request; the same facts always give the same decision.
+    /// Decides a request; equal attributes always result in the same decision.
     ///
-    /// A request of an unplaced database and one on which the program fails are refused.
+    /// The request is refused if its database has no placement or the program fails on it.
     pub fn decide(&self, attributes: &RequestAttributes) -> Decision {
         if let Some(decision) = self.cache.get(attributes) {
             return decision;
@@ -108,17 +108,17 @@
         }
     }
 
-    /// Where the database's writes go; none for a database that the policy does not know.
+    /// The placement of a database, or `None` if the policy does not place it.
     pub fn placement(&self, database: &DatabaseName) -> Option<&Placement> {
         self.placements.get(database)
     }
 
-    /// How often the program failed on a request; cached refusals do not count again.
+    /// The number of evaluations on which the program failed; cached refusals are not counted.
     pub fn failures(&self) -> u64 {
         self.failures.load(Ordering::Relaxed)
     }
 
-    /// How many decisions are cached now; bounded whatever clients send.
+    /// The number of cached decisions, which is bounded regardless of what clients send.
     pub fn cached_decisions(&self) -> usize {
         self.cache.len()
     }
--- a/crates/spurpier-core/src/policy/mod.rs
+++ b/crates/spurpier-core/src/policy/mod.rs
@@ -1,8 +1,9 @@
-//! Policies: which side, which freshness, which patience, or a refusal, for each request.
+//! Policies decide for each request its side, freshness and maximum wait, or refuse it.
 //!
-//! A [`PolicyProgram`] is the compiled text that an operator wrote. A [`PolicyDocument`] is what
-//! is published: a version, the text and the placements. [`PolicyInForce`] is a document made
-//! ready to decide. [`Publish`] is the way by which a program becomes the accepted policy.
+//! A [`PolicyProgram`] is the compiled script that an operator wrote. A [`PolicyDocument`] is the
+//! published form: a version, the script and the placements. [`PolicyInForce`] is a compiled
+//! document that decides requests. [`Publish`] is the state machine that publishes a program as
+//! the next accepted policy.
 
 mod cache;
 mod check;
@@ -36,10 +37,10 @@
 pub use start_gate::StartGate;
 
 impl Placement {
-    /// Whether a fence at this epoch shows that a newer policy has moved the database.
+    /// Whether a fence at `fence_epoch` shows that a newer policy has moved the database.
     ///
-    /// The fence, read with a read that covers the read index, keeps a node that has not heard
-    /// of the move from serving reads on the side that was left.
+    /// A read that covers the read index also reads the fence. This prevents a node that has not
+    /// yet received the newer policy from serving reads on the former side.
     pub fn is_superseded_by(&self, fence_epoch: u64) -> bool {
         fence_epoch > self.epoch
     }
@@ -55,7 +56,7 @@
 }
 
 impl StatementKind {
-    /// The kind's name in policy programs.
+    /// The name of the kind in policy programs.
     pub const fn as_str(self) -> &'static str {
         match self {
             StatementKind::Read => "read",
@@ -64,54 +65,55 @@
     }
 }
 
-/// What a policy may know of a request.
+/// The attributes of a request that a policy program can use.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct RequestAttributes {
     /// The database.
     pub database: DatabaseName,
-    /// The user of the client connection.
+    /// The database user of the client connection.
     pub user: String,
-    /// Whether it reads or writes.
+    /// Whether the request reads or writes.
     pub statement: StatementKind,
-    /// The zone of the ingress node.
+    /// The zone of the node that accepted the client connection.
     pub zone: String,
-    /// The class that the client gave, empty without one.
+    /// The class that the client set for the request, or empty.
     pub class: String,
 }
 
-/// How fresh the policy wants a request's reads.
+/// The freshness that a policy requires for the reads of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum FreshnessDemand {
-    /// The session's own writes, never back in time.
+    /// Reads include the session's own writes and never go back in time.
     Session,
-    /// At or past the read index at the request's arrival.
+    /// Reads include everything up to the read index at the arrival of the request.
     Fresh,
-    /// At most so many milliseconds behind the primary.
+    /// Reads are at most this many milliseconds behind the primary.
     Bounded(u32),
 }
 
-/// What the policy decides of a request.
+/// The decision of a policy on one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Decision {
-    /// The side on which it runs; writes always run on the write side.
+    /// The side on which the request runs; writes always run on the write side.
     pub side: Side,
-    /// How fresh its reads must be.
+    /// The freshness required for its reads.
     pub freshness: FreshnessDemand,
-    /// Whether a replica may serve it.
+    /// Whether a replica may serve the request.
     pub replica_allowed: bool,
-    /// How long it may wait before anything of it is sent, in milliseconds.
+    /// The maximum time that the request waits before anything of it is sent to a server, in
+    /// milliseconds.
     pub max_wait_ms: u32,
-    /// The reason for refusing it; none admits it.
+    /// The reason for refusing the request, or `None` if it is admitted.
     pub refusal: Option<String>,
 }
 
-/// Where a database's writes go under a policy.
+/// The side that accepts the writes of a database under a policy.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Placement {
     /// The database.
     pub database: DatabaseName,
-    /// The side that takes its writes.
+    /// The side that accepts its writes.
     pub side: Side,
-    /// The version of the policy that last changed the side; 0 before any change.
+    /// The version of the policy that last changed the side; 0 if it never changed.
     pub epoch: u64,
 }
--- a/crates/spurpier-core/src/policy/program.rs
+++ b/crates/spurpier-core/src/policy/program.rs
@@ -1,8 +1,8 @@
-//! Compiling and evaluating policy programs.
+//! Compilation and evaluation of policy programs.
 //!
-//! A program is pure: it sees only its argument, has no clock, no randomness, no output and no
-//! modules, and is bounded in operations, depth and sizes. The same facts therefore give the same
-//! answer on every node.
+//! A program is a pure function of its argument: it has no access to a clock, randomness, output
+//! or modules, and its operations, recursion depth and data sizes are limited. Equal request
+//! attributes therefore result in the same decision on every node.
 
 use rhai::packages::{
     ArithmeticPackage, BasicArrayPackage, BasicIteratorPackage, BasicMapPackage, BasicMathPackage,
@@ -13,7 +13,7 @@
 use super::{Decision, Finding, FreshnessDemand, RequestAttributes, StatementKind};
 use crate::identity::{DatabaseName, Side};
 
-/// The greatest length of a program's text, in bytes.
+/// The maximum size of a program's text, in bytes.
 pub const MAX_PROGRAM_BYTES: usize = 60 * 1024;
 
 const MAX_OPERATIONS: u64 = 20_000;
@@ -25,13 +25,13 @@
 const MAX_VARIABLES: usize = 64;
 const MAX_FUNCTIONS: usize = 64;
 
-/// Keywords that would read, print or run something outside the program.
+/// Keywords that evaluate other code, write output or access modules.
 const DISABLED_KEYWORDS: [&str; 5] = ["eval", "print", "debug", "import", "export"];
 
 const WRITE_SIDE_FUNCTION: &str = "write_side";
 const ROUTE_FUNCTION: &str = "route";
 
-/// The patience of a request for which the program names none, in milliseconds.
+/// The maximum wait of a request for which the program sets no `patience_ms`, in milliseconds.
 const DEFAULT_MAX_WAIT_MS: u32 = 1_000;
 
 /// A compiled policy program; immutable and shared between tasks.
@@ -55,7 +55,8 @@
     ///
     /// # Errors
     ///
-    /// All faults that can be found without running it: its size, its syntax, missing functions.
+    /// All errors that can be found without running the program: its size, its syntax and missing
+    /// functions.
     pub fn compile(text: &str) -> Result<PolicyProgram, Vec<Finding>> {
         if text.len() > MAX_PROGRAM_BYTES {
             let message = format!("the program is longer than {MAX_PROGRAM_BYTES} bytes");
@@ -76,16 +77,16 @@
         })
     }
 
-    /// The program's text.
+    /// The source text of the program.
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// The side that takes the database's writes.
+    /// Evaluates which side accepts the writes of a database.
     ///
     /// # Errors
     ///
-    /// The fault when the program fails or gives no side.
+    /// If the program fails or does not return a side.
     pub fn write_side(&self, database: &DatabaseName) -> Result<Side, Finding> {
         let argument = database.as_str().to_owned();
         let answer = self.call(WRITE_SIDE_FUNCTION, argument)?;
@@ -96,7 +97,7 @@
     ///
     /// # Errors
     ///
-    /// The fault when the program fails or gives no valid decision.
+    /// If the program fails or does not return a valid decision.
     pub fn route(
         &self,
         attributes: &RequestAttributes,
@@ -118,7 +119,7 @@
 
 fn limited_engine() -> Engine {
     let mut engine = Engine::new_raw();
-    // The language core and time packages are left out: they can sleep, exit and read the clock.
+    // The language core and time packages are omitted: they can sleep, exit and read the clock.
     ArithmeticPackage::new().register_into_engine(&mut engine);
     LogicPackage::new().register_into_engine(&mut engine);
     BasicMathPackage::new().register_into_engine(&mut engine);
@@ -167,7 +168,7 @@
 fn runtime_finding(error: &EvalAltResult) -> Finding {
     let inner = error.unwrap_inner();
     let mut message = error.to_string();
-    // The place is a field of the finding and need not stand in the message as well.
+    // The finding holds the position separately, so it is removed from the message.
     if let Some(start) = message.rfind(" (line ") {
         message.truncate(start);
     }
@@ -212,7 +213,7 @@
     u32::try_from(number).map_err(|_| format!("`{key}` is out of range: {number}"))
 }
 
-/// The keys of the map that `route` returned, before they are put together.
+/// The entries of the map that `route` returned, before they are combined into a decision.
 #[derive(Default)]
 struct RouteAnswer {
     freshness: Option<String>,
--- a/crates/spurpier-core/src/policy/publish.rs
+++ b/crates/spurpier-core/src/policy/publish.rs
@@ -1,9 +1,10 @@
-//! Publishing a policy: from a program and an expected version to one certain outcome.
+//! Publication of a policy program as the successor of an expected version.
 //!
-//! Acceptance is one conditional transaction on the table service: the head row is replaced and a
-//! history row is created only if the head is still the one that the operator expected. The
-//! history row of a version is written once and never changed, so it settles a lost answer: it
-//! names this publication or the one that won.
+//! A policy is accepted by one conditional transaction on the table service: it replaces the head
+//! row and creates a history row only if the head row is still at the version that was read for
+//! the expected policy. The history row of a version is written once and never changed. If the
+//! answer to the transaction is lost, the history row shows whether this publication or a competing
+//! one was accepted.
 
 use std::collections::BTreeSet;
 
@@ -14,22 +15,26 @@
 use super::{Placement, PolicyDocument, PolicyHead, PolicyProgram, check, next_placements};
 use crate::identity::DatabaseName;
 
-/// How often the transaction is sent before the publication gives up.
+/// The maximum number of times that the transaction is sent.
 const MAX_TRANSACT_ATTEMPTS: u32 = 6;
 
-/// The state of a publication.
+/// The state machine of one publication.
+///
+/// It performs no I/O: the caller executes each [`PublishAction`] and passes the result to
+/// [`Publish::step`].
 #[derive(Debug)]
 pub struct Publish {
     request: PublishRequest,
-    /// The compiled program; none when it has faults and the publication has ended.
+    /// The compiled program; `None` if it is invalid and the publication has ended.
     program: Option<PolicyProgram>,
     pending_action: PublishAction,
     head_row_version: u64,
     prepared: Option<PreparedDocument>,
-    /// A head of another publication whose document is being read.
+    /// The accepted head of the next version, while its document is read to compare it with the
+    /// request.
     competing_head: Option<PolicyHead>,
     attempts: u32,
-    /// Whether an acceptance was sent whose effect is not known.
+    /// Whether a transaction was sent whose outcome is unknown.
     acceptance_in_doubt: bool,
 }
 
@@ -40,7 +45,7 @@
 }
 
 impl Publish {
-    /// Checks the program and starts; gives the first action.
+    /// Checks the program and returns the state machine with its first action.
     pub fn start(request: PublishRequest) -> (Publish, PublishAction) {
         let findings = check(&request.program, &request.databases);
         let first = if findings.is_empty() {
@@ -61,9 +66,9 @@
         (publish, first)
     }
 
-    /// Takes in what the last action led to and gives the next one.
+    /// Handles the result of the last action and returns the next action.
     ///
-    /// An event that does not answer the last action gives that action again.
+    /// Returns the last action again if the event is not a result of it.
     pub fn step(&mut self, event: PublishEvent) -> PublishAction {
         let next = match (&self.pending_action, event) {
             (PublishAction::ReadHead, PublishEvent::Head(answer)) => self.on_head(answer),
@@ -152,7 +157,7 @@
         }
     }
 
-    /// Sends the acceptance, as long as there are attempts left.
+    /// Sends the transaction while attempts are left, and otherwise gives up with `reason`.
     fn accept(&mut self, reason: &str) -> PublishAction {
         let head = self.prepared.as_ref().map(|prepared| prepared.head.clone());
         match head {
@@ -171,7 +176,7 @@
         match answer {
             TransactAnswer::Accepted => self.accepted(false),
             TransactAnswer::Conflict => self.read_history(),
-            TransactAnswer::NotApplied => self.accept("the platform refuses the transaction"),
+            TransactAnswer::NotApplied => self.accept("the platform refused the transaction"),
             TransactAnswer::Unknown => {
                 self.acceptance_in_doubt = true;
                 self.read_history()
@@ -187,7 +192,7 @@
                 repeated,
             },
             None => PublishOutcome::Unknown {
-                why: "the platform accepted what was not sent".to_owned(),
+                why: "the platform accepted a transaction that was not sent".to_owned(),
             },
         };
         PublishAction::Finish(outcome)
@@ -196,7 +201,8 @@
     fn on_history(&mut self, answer: Result<Option<PolicyHead>, PlatformFailure>) -> PublishAction {
         match answer {
             Err(failure) => self.give_up(failure.why),
-            // Not made so far. One still under way and this one cannot both be made.
+            // Not accepted so far. A delayed transaction and a new one cannot both be accepted,
+            // because both require the same version of the head row.
             Ok(None) => self.accept("the head has moved but its history row is missing"),
             Ok(Some(head)) => self.on_version_taken(head),
         }
@@ -226,7 +232,8 @@
             (Ok(_), Some(head)) => {
                 PublishAction::Finish(PublishOutcome::Lost(PublishConflict::Winner(head)))
             }
-            // The version is taken, perhaps by an earlier publication of the same program.
+            // The version is taken. Its document could not be read, so it may be that of an earlier
+            // publication of the same program.
             (Err(failure), Some(_)) => {
                 PublishAction::Finish(PublishOutcome::Unknown { why: failure.why })
             }
@@ -234,7 +241,7 @@
         }
     }
 
-    /// Whether a document is what this publication asks for.
+    /// Whether a document has the requested program and places all requested databases.
     fn is_same_policy(&self, document: &PolicyDocument) -> bool {
         let placed: BTreeSet<&DatabaseName> = document
             .placements
--- a/crates/spurpier-core/src/policy/publish_messages.rs
+++ b/crates/spurpier-core/src/policy/publish_messages.rs
@@ -1,66 +1,66 @@
-//! What the machine of a publication takes in and gives out.
+//! The inputs and outputs of the state machine [`Publish`](super::Publish).
 
 use super::{Finding, PolicyDocument, PolicyHead};
 use crate::identity::DatabaseName;
 
-/// What an operator asks for.
+/// An operator's request to publish a policy.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PublishRequest {
-    /// Names this publication; unique among all.
+    /// The unique identifier of this publication.
     pub publish_id: String,
-    /// The program's text.
+    /// The text of the program.
     pub program: String,
-    /// The version that the operator takes to be in force; 0 before the first.
+    /// The accepted version that the operator expects; 0 if no policy was accepted yet.
     pub expect_version: u64,
-    /// The databases that the policy places.
+    /// The databases that the policy must place.
     pub databases: Vec<DatabaseName>,
 }
 
-/// The head row as it was read.
+/// The head row read from the table service.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct HeadRow {
-    /// The version of the row; 0 when there is none.
+    /// The version of the row; 0 if the row does not exist.
     pub row_version: u64,
-    /// What it holds; none when there is no row.
+    /// The head that the row holds, or `None` if the row does not exist.
     pub head: Option<PolicyHead>,
 }
 
-/// A read or an idempotent write failed for good, retries included.
+/// A read or an idempotent write that failed after all retries.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlatformFailure {
-    /// Why, for the operator.
+    /// The cause, reported to the operator.
     pub why: String,
 }
 
-/// What the platform answered to the acceptance.
+/// The outcome of the transaction that accepts a policy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TransactAnswer {
-    /// It was made.
+    /// It was applied.
     Accepted,
-    /// A condition did not hold; nothing was made.
+    /// A condition did not hold, so nothing was applied.
     Conflict,
-    /// It was certainly not made and may be tried again.
+    /// It was definitely not applied and can be retried.
     NotApplied,
-    /// It may have been made, and may yet be.
+    /// It may have been applied, or may still be applied later.
     Unknown,
 }
 
-/// What the caller does next; each action is answered by one event.
+/// The next operation that the caller performs; each results in one event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PublishAction {
-    /// Read the head row; answered by [`PublishEvent::Head`].
+    /// Read the head row; results in [`PublishEvent::Head`].
     ReadHead,
-    /// Read the history row of a version; answered by [`PublishEvent::History`].
+    /// Read the history row of a version; results in [`PublishEvent::History`].
     ReadHistory {
         /// The version.
         version: u64,
     },
-    /// Read a document by its digest; answered by [`PublishEvent::Document`].
+    /// Read a document by its digest; results in [`PublishEvent::Document`].
     ReadDocument {
         /// The digest.
         digest: String,
     },
-    /// Store a document under its digest; answered by [`PublishEvent::Stored`].
+    /// Store a document under its digest; results in [`PublishEvent::Stored`].
     StoreDocument {
         /// The document.
         document: PolicyDocument,
@@ -68,69 +68,70 @@
         digest: String,
     },
     /// In one transaction, replace the head row if it has this row version and create the
-    /// history row if it is absent; answered by [`PublishEvent::Transacted`].
+    /// history row if it does not exist; results in [`PublishEvent::Transacted`].
     Accept {
-        /// The row version that the head must have; 0 means absent.
+        /// The version that the head row must have; 0 requires that the row does not exist.
         head_row_version: u64,
         /// The new head.
         head: PolicyHead,
     },
-    /// Stop: the publication has ended.
+    /// The publication has ended with this outcome.
     Finish(PublishOutcome),
 }
 
-/// What an action led to.
+/// The result of an action.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PublishEvent {
     /// The head row was read.
     Head(Result<HeadRow, PlatformFailure>),
-    /// A history row was read; none when it is absent.
+    /// The history row was read; `None` if it does not exist.
     History(Result<Option<PolicyHead>, PlatformFailure>),
-    /// A document was read.
+    /// The document was read.
     Document(Result<PolicyDocument, PlatformFailure>),
     /// The document was stored.
     Stored(Result<(), PlatformFailure>),
-    /// The acceptance was answered.
+    /// The transaction ended or its answer was lost.
     Transacted(TransactAnswer),
 }
 
-/// How a publication ended.
+/// The outcome of a publication.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PublishOutcome {
-    /// The program is the accepted policy of this version.
+    /// The program was accepted as the version after the expected one.
     Accepted {
         /// The head of the version.
         head: PolicyHead,
         /// The document of the version.
         document: PolicyDocument,
-        /// Whether an earlier publication of the same program did it.
+        /// Whether it was accepted by an earlier publication of the same program.
         repeated: bool,
     },
-    /// Nothing was published: another publication holds the version.
+    /// Nothing was published: the expected version is not the accepted one.
     Lost(PublishConflict),
-    /// Nothing was published: the program has faults.
+    /// Nothing was published: the program is invalid.
     Invalid(Vec<Finding>),
-    /// Nothing was published, for a reason of the platform.
+    /// Nothing was published, because the platform failed.
     NotAccepted {
-        /// Why.
+        /// The cause.
         why: String,
     },
-    /// It is not known whether the policy was accepted; publishing again with the same program
-    /// and expectation finds out.
+    /// It is unknown whether the policy was accepted.
+    ///
+    /// Publishing the same program again with the same expected version resolves this.
     Unknown {
-        /// Why.
+        /// The cause.
         why: String,
     },
 }
 
-/// Why the expected version was not the one in force.
+/// Why the expected version is not the accepted one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PublishConflict {
-    /// Another publication won the version after the expected one.
+    /// Another publication was accepted as the version after the expected one.
     Winner(PolicyHead),
-    /// The expected version has not been reached.
+    /// The accepted version is older than the expected one.
     NotReached {
-        /// The version in force.
+        /// The accepted version; 0 if there is none.
         current: u64,
     },
 }
--- a/crates/spurpier-core/src/policy/start_gate.rs
+++ b/crates/spurpier-core/src/policy/start_gate.rs
@@ -1,18 +1,20 @@
-//! When a node that has just started may serve.
+//! The readiness condition of a node after a start.
 
-/// Holds a started node back until its policy is as new as the head was after its start.
+/// Keeps a started node from serving until its policy is at least as new as the platform's head
+/// was after the start.
 ///
-/// Peers may lag: a node that took its first version from one of them could serve by an older
-/// policy than it did before it was restarted. Only the platform's head settles that.
+/// Peers can lag behind. A restarted node that received its first version from such a peer could
+/// serve by an older policy than it did before the restart. Only the platform's head rules this
+/// out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct StartGate {
     head: Option<u64>,
 }
 
 impl StartGate {
-    /// Notes the version of the head, read from the platform after the node started.
+    /// Records the version of the head that was read from the platform after the start.
     ///
-    /// Only the first one counts: later versions reach a serving node by the usual spread.
+    /// Only the first call has an effect: later versions reach the node by normal distribution.
     pub fn record_head(&mut self, version: u64) {
         self.head.get_or_insert(version);
     }
@@ -22,7 +24,7 @@
         self.head.is_none()
     }
 
-    /// Whether a node with this version in force may serve.
+    /// Whether a node whose installed policy has this version may serve; 0 means no policy.
     pub fn may_serve(&self, in_force: u64) -> bool {
         in_force > 0 && self.head.is_some_and(|head| head <= in_force)
     }
--- a/crates/spurpier-core/tests/policy_entries.rs
+++ b/crates/spurpier-core/tests/policy_entries.rs
@@ -1,4 +1,4 @@
-//! Policies as entries of the document that spreads between nodes.
+//! Conversion of policies to and from entries of the distributed document.
 
 use assert_matches::assert_matches;
 use proptest::prelude::*;
@@ -18,11 +18,11 @@
     program: &str,
     databases: &[DatabaseName],
 ) -> (PolicyHead, PolicyDocument) {
-    let compiled = PolicyProgram::compile(program).expect("sound");
+    let compiled = PolicyProgram::compile(program).expect("valid program");
     let document = PolicyDocument {
         version,
         program: program.to_owned(),
-        placements: next_placements(&[], &compiled, databases, version).expect("sound"),
+        placements: next_placements(&[], &compiled, databases, version).expect("valid program"),
     };
     let head = PolicyHead {
         version,
@@ -56,7 +56,7 @@
             let databases: Vec<DatabaseName> = names.into_iter().map(DatabaseName::from).collect();
             let policy = published(version, program, &databases);
             install(&mut document, &policy);
-            prop_assert_eq!(policy_from_entries(&document).expect("whole"), policy);
+            prop_assert_eq!(policy_from_entries(&document).expect("complete"), policy);
         }
     }
 }
--- a/crates/spurpier-core/tests/policy_program.rs
+++ b/crates/spurpier-core/tests/policy_program.rs
@@ -1,4 +1,4 @@
-//! Policy programs: compiling, deciding, faults and limits.
+//! Policy programs: compilation, decisions, errors and limits.
 
 use assert_matches::assert_matches;
 use spurpier_core::identity::{DatabaseName, Side};
@@ -40,7 +40,7 @@
 }
 
 fn in_force(program: &str, version: u64, previous: &[Placement]) -> PolicyInForce {
-    let compiled = PolicyProgram::compile(program).expect("sound program");
+    let compiled = PolicyProgram::compile(program).expect("valid program");
     let placements =
         next_placements(previous, &compiled, &databases(), version).expect("placements");
     let document = PolicyDocument {
@@ -48,7 +48,7 @@
         program: program.to_owned(),
         placements,
     };
-    PolicyInForce::from_document(&document).expect("sound document")
+    PolicyInForce::from_document(&document).expect("valid document")
 }
 
 #[test]
@@ -87,8 +87,8 @@
 
 #[test]
 fn epochs_change_only_with_the_side() {
-    let old = PolicyProgram::compile(INITIAL_PROGRAM).expect("sound");
-    let moved = PolicyProgram::compile(MIGRATION).expect("sound");
+    let old = PolicyProgram::compile(INITIAL_PROGRAM).expect("valid program");
+    let moved = PolicyProgram::compile(MIGRATION).expect("valid program");
     let first = next_placements(&[], &old, &databases(), 1).expect("placements");
     assert!(first.iter().all(|placement| placement.epoch == 0));
     let second = next_placements(&first, &moved, &databases(), 2).expect("placements");
--- a/crates/spurpier-core/tests/policy_publish.rs
+++ b/crates/spurpier-core/tests/policy_publish.rs
@@ -1,4 +1,4 @@
-//! Racing publications against a platform that loses answers and delays effects.
+//! Concurrent publications against a platform that refuses calls, loses answers and delays effects.
 
 use std::collections::BTreeMap;
 
@@ -18,7 +18,7 @@
     r#"fn write_side(d) { if d == "orders" { "new" } else { "old" } } fn route(r) { #{} }"#,
 ];
 
-/// What befalls one call to the platform.
+/// The fault injected into one call to the platform.
 #[derive(Debug, Clone, Copy)]
 enum Fault {
     None,
@@ -42,7 +42,7 @@
     DeliverDelayed(usize),
 }
 
-/// The generator needs no state: each transition is valid at any moment.
+/// The reference model is stateless: each transition is valid at any time.
 struct Races;
 
 impl ReferenceStateMachine for Races {
@@ -80,7 +80,7 @@
     }
 }
 
-/// The platform: rows and objects, and acceptances that take effect late.
+/// The platform's rows and objects, and the delayed transactions that can still be applied.
 #[derive(Default)]
 struct Platform {
     head: HeadRow,
@@ -177,7 +177,7 @@
             databases: vec!["orders".into(), "stock".into()],
         };
         let (publish, action) = Publish::start(request.clone());
-        // An operator who starts anew has given the former publication up.
+        // An operator that starts a publication abandons its previous one.
         self.operators[operator] = Some(Operator {
             request,
             publish,
@@ -225,7 +225,7 @@
                 assert!(!self.is_in_history(&request.publish_id));
             }
             PublishOutcome::Unknown { .. } => {}
-            PublishOutcome::Invalid(findings) => panic!("sound programs: {findings:?}"),
+            PublishOutcome::Invalid(findings) => panic!("valid programs: {findings:?}"),
         }
     }
 
@@ -301,12 +301,13 @@
 prop_state_machine! {
     #![proptest_config(config_with_fixed_seed())]
 
-    /// Whatever the platform loses, no publication claims what did not happen.
+    /// A publication never reports an outcome that contradicts the history, whatever calls the
+    /// platform refuses, loses or delays.
     #[test]
     fn racing_publications_report_only_what_happened(sequential 1..120 => PublishTest);
 }
 
-/// Runs a publication without faults to its end.
+/// Runs a publication to its outcome without faults.
 fn run_to_completion(platform: &mut Platform, request: PublishRequest) -> PublishOutcome {
     let (mut publish, mut action) = Publish::start(request);
     while let Some(event) = platform.answer(&action, Fault::None) {
@@ -343,7 +344,7 @@
         again,
         PublishOutcome::Accepted { repeated: true, .. }
     ));
-    // Also when others have gone on meanwhile.
+    // The same holds after later versions were accepted.
     run_to_completion(&mut platform, request("next", 1, 1));
     let late = run_to_completion(&mut platform, request("late", 0, 0));
     assert!(matches!(
--- a/crates/spurpier-core/tests/spread_document.rs
+++ b/crates/spurpier-core/tests/spread_document.rs
@@ -1,4 +1,5 @@
-//! Versions of the document only rise, and equal versions have equal content.
+//! Checks that the version of a document never decreases, that equal versions have equal content,
+//! and when a node requests versions from peers and polls the platform.
 
 use std::sync::Arc;
 
@@ -12,7 +13,7 @@
 use spurpier_core::time::Timestamp;
 use spurpier_core::wire::List;
 
-/// Changes remembered in these tests: few, so that requests reach behind them.
+/// Retained changes in these tests: few, so that some requests are for changes no longer retained.
 const RETAINED_CHANGES: usize = 4;
 
 fn change(key: u8, value: Option<u8>, version: u64) -> EntryChange {
@@ -23,7 +24,7 @@
     }
 }
 
-/// A history of documents, each with the delta that led to it.
+/// Applies one change per version; returns each version of the document with its delta.
 fn history(changes: &[(u8, Option<u8>)]) -> Vec<(Document, Delta)> {
     let mut document = Document::default();
     let mut versions = Vec::new();
@@ -53,7 +54,10 @@
     #[test]
     fn versions_never_decrease_and_reach_the_newest(
         changes in changes(),
-        order in prop::collection::vec((any::<prop::sample::Index>(), any::<prop::sample::Index>()), 0..60),
+        order in prop::collection::vec(
+            (any::<prop::sample::Index>(), any::<prop::sample::Index>()),
+            0..60,
+        ),
     ) {
         let versions = history(&changes);
         let newest = &versions.last().expect("there is a version").0;
@@ -62,7 +66,7 @@
             let before = node.version();
             let (source, direct) = to.get(&versions);
             let since = from.get(&versions).0.version();
-            // Either the delta of one version, or what a peer answers to a request.
+            // Apply the delta of one version, and then a peer's response to a request.
             let _ = node.apply(direct, RETAINED_CHANGES);
             match source.delta_since(since) {
                 Some(delta) => { let _ = node.apply(&delta, RETAINED_CHANGES); }
