--- a/crates/spurpier-core/src/policy/publish.rs
+++ b/crates/spurpier-core/src/policy/publish.rs
@@ -1,46 +1,51 @@
-//! Publishing a policy: from a program and an expected version to one certain outcome.
+//! Publication of a policy program as the successor of an expected version.
 //!
-//! Acceptance is one conditional transaction on the table service: the head row is replaced and a
-//! history row is created only if the head is still the one that the operator expected. The
-//! history row of a version is written once and never changed, so it settles a lost answer: it
-//! names this publication or the one that won.
+//! A policy is accepted by one conditional transaction on the table service: it replaces the head
+//! row and creates a history row only if the head row is still at the version that was read for
+//! the expected policy. The history row of a version is written once and never changed. If the
+//! answer to the transaction is lost, the history row shows whether this publication or a competing
+//! one was accepted.
 
 use std::collections::BTreeSet;
 
 use super::publish_messages::{
-    HeadRow, PublishAction, PublishConflict, PublishEvent, PublishOutcome, PublishRequest,
-    ReadFailed, TransactAnswer,
+    HeadRow, PlatformFailure, PublishAction, PublishConflict, PublishEvent, PublishOutcome,
+    PublishRequest, TransactAnswer,
 };
 use super::{Placement, PolicyDocument, PolicyHead, PolicyProgram, check, next_placements};
 use crate::identity::DatabaseName;
 
-/// How often the transaction is sent before the publication gives up.
+/// The maximum number of times that the transaction is sent.
 const MAX_TRANSACT_ATTEMPTS: u32 = 6;
 
-/// The state of a publication.
+/// The state machine of one publication.
+///
+/// It performs no I/O: the caller executes each [`PublishAction`] and passes the result to
+/// [`Publish::step`].
 #[derive(Debug)]
 pub struct Publish {
     request: PublishRequest,
-    /// The compiled program; none when it has faults and the publication has ended.
+    /// The compiled program; `None` if it is invalid and the publication has ended.
     program: Option<PolicyProgram>,
-    awaited: PublishAction,
+    pending_action: PublishAction,
     head_row_version: u64,
-    own: Option<OwnDocument>,
-    /// A head of another publication whose document is being read.
-    rival: Option<PolicyHead>,
+    prepared: Option<PreparedDocument>,
+    /// The accepted head of the next version, while its document is read to compare it with the
+    /// request.
+    competing_head: Option<PolicyHead>,
     attempts: u32,
-    /// Whether an acceptance was sent whose effect is not known.
-    in_doubt: bool,
+    /// Whether a transaction was sent whose outcome is unknown.
+    acceptance_in_doubt: bool,
 }
 
 #[derive(Debug, Clone)]
-struct OwnDocument {
+struct PreparedDocument {
     document: PolicyDocument,
     head: PolicyHead,
 }
 
 impl Publish {
-    /// Checks the program and starts; gives the first action.
+    /// Checks the program and returns the state machine with its first action.
     pub fn start(request: PublishRequest) -> (Publish, PublishAction) {
         let findings = check(&request.program, &request.databases);
         let first = if findings.is_empty() {
@@ -51,21 +56,21 @@
         let publish = Publish {
             program: PolicyProgram::compile(&request.program).ok(),
             request,
-            awaited: first.clone(),
+            pending_action: first.clone(),
             head_row_version: 0,
-            own: None,
-            rival: None,
+            prepared: None,
+            competing_head: None,
             attempts: 0,
-            in_doubt: false,
+            acceptance_in_doubt: false,
         };
         (publish, first)
     }
 
-    /// Takes in what the last action led to and gives the next one.
+    /// Handles the result of the last action and returns the next action.
     ///
-    /// An event that does not answer the last action gives that action again.
+    /// Returns the last action again if the event is not a result of it.
     pub fn step(&mut self, event: PublishEvent) -> PublishAction {
-        let next = match (&self.awaited, event) {
+        let next = match (&self.pending_action, event) {
             (PublishAction::ReadHead, PublishEvent::Head(answer)) => self.on_head(answer),
             (PublishAction::ReadHistory { .. }, PublishEvent::History(answer)) => {
                 self.on_history(answer)
@@ -79,9 +84,9 @@
             (PublishAction::Accept { .. }, PublishEvent::Transacted(answer)) => {
                 self.on_transacted(answer)
             }
-            _ => self.awaited.clone(),
+            _ => self.pending_action.clone(),
         };
-        self.awaited = next.clone();
+        self.pending_action = next.clone();
         next
     }
 
@@ -95,10 +100,10 @@
         }
     }
 
-    fn on_head(&mut self, answer: Result<HeadRow, ReadFailed>) -> PublishAction {
+    fn on_head(&mut self, answer: Result<HeadRow, PlatformFailure>) -> PublishAction {
         let row = match answer {
             Ok(row) => row,
-            Err(failed) => return self.give_up(failed.why),
+            Err(failure) => return self.give_up(failure.why),
         };
         let current = row.head.as_ref().map_or(0, |head| head.version);
         if current > self.request.expect_version {
@@ -138,23 +143,23 @@
             digest: digest.clone(),
             publish_id: self.request.publish_id.clone(),
         };
-        self.own = Some(OwnDocument {
+        self.prepared = Some(PreparedDocument {
             document: document.clone(),
             head,
         });
         PublishAction::StoreDocument { document, digest }
     }
 
-    fn on_stored(&mut self, answer: Result<(), ReadFailed>) -> PublishAction {
+    fn on_stored(&mut self, answer: Result<(), PlatformFailure>) -> PublishAction {
         match answer {
             Ok(()) => self.accept("no answer from the platform"),
-            Err(failed) => self.give_up(failed.why),
+            Err(failure) => self.give_up(failure.why),
         }
     }
 
-    /// Sends the acceptance, as long as there are attempts left.
-    fn accept(&mut self, why_not: &str) -> PublishAction {
-        let head = self.own.as_ref().map(|own| own.head.clone());
+    /// Sends the transaction while attempts are left, and otherwise gives up with `reason`.
+    fn accept(&mut self, reason: &str) -> PublishAction {
+        let head = self.prepared.as_ref().map(|prepared| prepared.head.clone());
         match head {
             Some(head) if self.attempts < MAX_TRANSACT_ATTEMPTS => {
                 self.attempts += 1;
@@ -163,7 +168,7 @@
                     head,
                 }
             }
-            _ => self.give_up(why_not.to_owned()),
+            _ => self.give_up(reason.to_owned()),
         }
     }
 
@@ -171,50 +176,51 @@
         match answer {
             TransactAnswer::Accepted => self.accepted(false),
             TransactAnswer::Conflict => self.read_history(),
-            TransactAnswer::NotDone => self.accept("the platform refuses the transaction"),
+            TransactAnswer::NotApplied => self.accept("the platform refused the transaction"),
             TransactAnswer::Unknown => {
-                self.in_doubt = true;
+                self.acceptance_in_doubt = true;
                 self.read_history()
             }
         }
     }
 
     fn accepted(&self, repeated: bool) -> PublishAction {
-        let outcome = match &self.own {
-            Some(own) => PublishOutcome::Accepted {
-                head: own.head.clone(),
-                document: own.document.clone(),
+        let outcome = match &self.prepared {
+            Some(prepared) => PublishOutcome::Accepted {
+                head: prepared.head.clone(),
+                document: prepared.document.clone(),
                 repeated,
             },
             None => PublishOutcome::Unknown {
-                why: "the platform accepted what was not sent".to_owned(),
+                why: "the platform accepted a transaction that was not sent".to_owned(),
             },
         };
         PublishAction::Finish(outcome)
     }
 
-    fn on_history(&mut self, answer: Result<Option<PolicyHead>, ReadFailed>) -> PublishAction {
+    fn on_history(&mut self, answer: Result<Option<PolicyHead>, PlatformFailure>) -> PublishAction {
         match answer {
-            Err(failed) => self.give_up(failed.why),
-            // Not made so far. One still under way and this one cannot both be made.
+            Err(failure) => self.give_up(failure.why),
+            // Not accepted so far. A delayed transaction and a new one cannot both be accepted,
+            // because both require the same version of the head row.
             Ok(None) => self.accept("the head has moved but its history row is missing"),
             Ok(Some(head)) => self.on_version_taken(head),
         }
     }
 
     fn on_version_taken(&mut self, head: PolicyHead) -> PublishAction {
-        let is_own = head.publish_id == self.request.publish_id;
-        if is_own && self.own.is_some() {
+        let is_own_publication = head.publish_id == self.request.publish_id;
+        if is_own_publication && self.prepared.is_some() {
             return self.accepted(false);
         }
         let digest = head.digest.clone();
-        self.rival = Some(head);
+        self.competing_head = Some(head);
         PublishAction::ReadDocument { digest }
     }
 
-    fn on_document(&mut self, answer: Result<PolicyDocument, ReadFailed>) -> PublishAction {
-        let rival = self.rival.take();
-        match (answer, rival) {
+    fn on_document(&mut self, answer: Result<PolicyDocument, PlatformFailure>) -> PublishAction {
+        let competing_head = self.competing_head.take();
+        match (answer, competing_head) {
             (Ok(document), None) => self.store_document(&document.placements),
             (Ok(document), Some(head)) if self.is_same_policy(&document) => {
                 PublishAction::Finish(PublishOutcome::Accepted {
@@ -226,15 +232,16 @@
             (Ok(_), Some(head)) => {
                 PublishAction::Finish(PublishOutcome::Lost(PublishConflict::Winner(head)))
             }
-            // The version is taken, perhaps by an earlier publication of the same program.
-            (Err(failed), Some(_)) => {
-                PublishAction::Finish(PublishOutcome::Unknown { why: failed.why })
+            // The version is taken. Its document could not be read, so it may be that of an earlier
+            // publication of the same program.
+            (Err(failure), Some(_)) => {
+                PublishAction::Finish(PublishOutcome::Unknown { why: failure.why })
             }
-            (Err(failed), None) => self.give_up(failed.why),
+            (Err(failure), None) => self.give_up(failure.why),
         }
     }
 
-    /// Whether a document is what this publication asks for.
+    /// Whether a document has the requested program and places all requested databases.
     fn is_same_policy(&self, document: &PolicyDocument) -> bool {
         let placed: BTreeSet<&DatabaseName> = document
             .placements
@@ -250,7 +257,7 @@
     }
 
     fn give_up(&self, why: String) -> PublishAction {
-        let outcome = if self.in_doubt {
+        let outcome = if self.acceptance_in_doubt {
             PublishOutcome::Unknown { why }
         } else {
             PublishOutcome::NotAccepted { why }
--- a/crates/spurpier-core/tests/model/node/mod.rs
+++ b/crates/spurpier-core/tests/model/node/mod.rs
@@ -11,6 +11,7 @@
 use std::time::Duration;
 
 use spurpier_core::commit::{CommitAction, CommitEvent, CommitMachine, CommitOutcome, WriteKind};
+use spurpier_core::distribution::{Distribution, DistributionEvent, OwnedDocument};
 use spurpier_core::group::{GroupView, ObservedStatus, ServerStatus, ServerView};
 use spurpier_core::group_history::GroupHistory;
 use spurpier_core::handover::{Handover, HandoverAction, HandoverEvent, HandoverStep};
@@ -20,7 +21,6 @@
 use spurpier_core::position::Position;
 use spurpier_core::reason::Reason;
 use spurpier_core::routing::{ReadDemand, Route, ServerLoad, route_read, route_write};
-use spurpier_core::spread::{OwnedDocument, Spread, SpreadEvent};
 use spurpier_core::time::Timestamp;
 use spurpier_rehearsal::oracle::{Outcome, PolicyObserved, ReadFreshness, StopTarget};
 
@@ -104,7 +104,7 @@
     pub draining: bool,
     pub draining_since: u64,
     pub deferred: VecDeque<ToNode>,
-    pub distribution: Spread<OwnedDocument>,
+    pub distribution: Distribution<OwnedDocument>,
     gate: StartGate,
     /// Whether `gate` is ignored, for a breakage test.
     pub gate_disabled: bool,
@@ -147,7 +147,7 @@
             draining: false,
             draining_since: 0,
             deferred: VecDeque::new(),
-            distribution: Spread::new(OwnedDocument::default(), Arc::default(), zone as u64),
+            distribution: Distribution::new(OwnedDocument::default(), Arc::default(), zone as u64),
             gate: StartGate::default(),
             gate_disabled: false,
             unchecked_policy: None,
@@ -227,11 +227,11 @@
             } => self.handle_probe_reply(node, server, requested_at, *status),
             ToNode::PeerVersion { peer, version } => {
                 let peer = NodeKey(peer as u64);
-                self.handle_distribution_event(node, SpreadEvent::PeerVersion { peer, version });
+                self.handle_distribution_event(node, DistributionEvent::PeerVersion { peer, version });
             }
             ToNode::Distribution(event) => {
-                if let SpreadEvent::HeadRead(Ok(version)) = *event {
-                    self.nodes[node].gate.head_read(version);
+                if let DistributionEvent::HeadRead(Ok(version)) = *event {
+                    self.nodes[node].gate.record_head(version);
                 }
                 self.handle_distribution_event(node, *event);
             }
@@ -243,7 +243,7 @@
             self.probe_all(node);
         }
         self.update_reachability(node);
-        self.handle_distribution_event(node, SpreadEvent::Watching(true));
+        self.handle_distribution_event(node, DistributionEvent::Watching(true));
         self.drive_handover(node);
         let now = self.timestamp();
         let units: Vec<u64> = self.nodes[node].units.keys().copied().collect();
