--- a/crates/spurpier-core/tests/cold.rs
+++ b/crates/spurpier-core/tests/cold.rs
@@ -213,9 +213,9 @@
 fn a_retry_delay_is_known_without_acquiring_a_permit() {
     let now = Timestamp::from_millis(10_000);
     let retry_after = Duration::from_millis(80);
-    let mut ledger = PermitCache::default();
-    assert_eq!(ledger.limited_for("server", now), None);
-    let leaves = ledger.record_grant(
+    let mut permit_cache = PermitCache::default();
+    assert_eq!(permit_cache.limited_for("server", now), None);
+    let permits = permit_cache.record_grant(
         "server",
         Grant {
             permits: 1,
@@ -226,17 +226,17 @@
         now,
     );
     assert_eq!(
-        ledger.limited_for("server", now + retry_after / 2),
+        permit_cache.limited_for("server", now + retry_after / 2),
         Some(retry_after / 2)
     );
-    ledger.return_unused("server", leaves[0], now);
-    assert_eq!(ledger.limited_for("server", now), None);
+    permit_cache.return_unused("server", permits[0], now);
+    assert_eq!(permit_cache.limited_for("server", now), None);
     assert_eq!(
-        ledger.acquire("server", now),
-        AcquireOutcome::Permit(leaves[0])
+        permit_cache.acquire("server", now),
+        AcquireOutcome::Permit(permits[0])
     );
-    assert_eq!(ledger.limited_for("server", now), Some(retry_after));
-    assert_eq!(ledger.limited_for("server", now + retry_after), None);
+    assert_eq!(permit_cache.limited_for("server", now), Some(retry_after));
+    assert_eq!(permit_cache.limited_for("server", now + retry_after), None);
 }
 
 #[test]
--- a/crates/spurpier-core/tests/cold_model/mod.rs
+++ b/crates/spurpier-core/tests/cold_model/mod.rs
@@ -112,7 +112,7 @@
         grant: Grant,
         waiting: u32,
         has_majority: bool,
-        stamp: AuthorityTimestamp,
+        authority_time: AuthorityTimestamp,
     },
     /// A request that another node forwards to the node that sends.
     Forwarded { asked_at: Timestamp },
@@ -131,9 +131,9 @@
 
 #[derive(Debug)]
 struct Node {
-    ledger: PermitCache,
+    permit_cache: PermitCache,
     authority: Authority,
-    choice: AuthoritySelector,
+    selector: AuthoritySelector,
     bucket: TokenBucket,
     reachable: u8,
     /// Number of nodes on its list that are not in the model.
@@ -317,23 +317,23 @@
                 grant,
                 waiting,
                 has_majority,
-                stamp,
+                authority_time,
             } => {
                 let node = &mut self.nodes[envelope.to];
                 if node.incarnation != envelope.incarnation {
                     return;
                 }
                 let name = NAMES[envelope.from];
-                node.choice
-                    .record_response(name, has_majority, stamp, self.now);
+                node.selector
+                    .record_response(name, has_majority, authority_time, self.now);
                 let asked_at = match self.breakage {
                     Breakage::NonExpiringPermits => self.now,
                     _ => envelope.asked_at,
                 };
-                let leaves = node
-                    .ledger
+                let permits = node
+                    .permit_cache
                     .record_grant(SERVER, grant, waiting, asked_at, self.now);
-                for _ in leaves {
+                for _ in permits {
                     self.sent.push((self.now, envelope.asked_at));
                 }
             }
@@ -353,14 +353,14 @@
             _ => NODES + node.extra_listed,
         };
         let authority = &mut node.authority;
-        let stamp = authority.timestamp(self.now);
+        let authority_time = authority.timestamp(self.now);
         authority.record_vote(NAMES[envelope.from], sent_after, listed, self.now);
         let grant = authority.grant(SERVER, want, 0.5, self.now);
         let message = Message::PermitReply {
             grant,
             waiting,
             has_majority: authority.has_majority(),
-            stamp,
+            authority_time,
         };
         let reply = Envelope {
             from: envelope.to,
@@ -455,14 +455,14 @@
     fn request_permits(&mut self, node: usize) {
         let mut waiting = 0;
         for _ in 0..self.demand {
-            match self.nodes[node].ledger.acquire(SERVER, self.now) {
+            match self.nodes[node].permit_cache.acquire(SERVER, self.now) {
                 AcquireOutcome::Permit(_) => self.sent.push((self.now, self.now)),
                 AcquireOutcome::Limited(_) => {}
                 AcquireOutcome::AskAuthority => waiting += 1,
             }
         }
-        let asked_for = self.nodes[node].choice.time_since_request(self.now);
-        let is_vote_due = asked_for.is_none_or(|time| time >= VOTE_INTERVAL);
+        let since_request = self.nodes[node].selector.time_since_request(self.now);
+        let is_vote_due = since_request.is_none_or(|time| time >= VOTE_INTERVAL);
         if waiting > 0 || is_vote_due {
             self.send_permit_request(node, waiting);
         }
@@ -472,8 +472,8 @@
         let Some(authority) = self.choose_authority(node) else {
             return;
         };
-        self.nodes[node].choice.record_request(self.now);
-        let sent_after = self.nodes[node].choice.authority_time(self.now);
+        self.nodes[node].selector.record_request(self.now);
+        let sent_after = self.nodes[node].selector.authority_time(self.now);
         let request = Envelope {
             from: node,
             to: authority,
@@ -496,7 +496,7 @@
             .filter(|(other, _)| (reachable >> other) & 1 == 1)
             .map(|(_, name)| *name)
             .collect();
-        let chosen = self.nodes[node].choice.select(&reachable, now)?;
+        let chosen = self.nodes[node].selector.select(&reachable, now)?;
         NAMES.iter().position(|name| *name == chosen)
     }
 }
@@ -530,9 +530,9 @@
         .authority_rate(per_second)
         .expect("the limit allows a request");
     Node {
-        ledger: PermitCache::default(),
+        permit_cache: PermitCache::default(),
         authority: Authority::new(ColdBound::AUTHORITY_BOUND, incarnation),
-        choice: AuthoritySelector::new(VOTE_TTL),
+        selector: AuthoritySelector::new(VOTE_TTL),
         bucket: TokenBucket::started_at(Budget::for_rate(rate, ColdBound::AUTHORITY_BOUND), now),
         reachable: (1 << NODES) - 1,
         extra_listed: 0,
