--- a/crates/spurpier-core/tests/model/node/mod.rs
+++ b/crates/spurpier-core/tests/model/node/mod.rs
@@ -227,7 +227,10 @@
             } => self.handle_probe_reply(node, server, requested_at, *status),
             ToNode::PeerVersion { peer, version } => {
                 let peer = NodeKey(peer as u64);
-                self.handle_distribution_event(node, DistributionEvent::PeerVersion { peer, version });
+                self.handle_distribution_event(
+                    node,
+                    DistributionEvent::PeerVersion { peer, version },
+                );
             }
             ToNode::Distribution(event) => {
                 if let DistributionEvent::HeadRead(Ok(version)) = *event {
--- a/crates/spurpier-core/tests/model/platform.rs
+++ b/crates/spurpier-core/tests/model/platform.rs
@@ -282,8 +282,10 @@
 
     pub fn handle_distribution_event(&mut self, node: usize, event: DistributionEvent) {
         let now = Timestamp::from_micros(self.now);
-        if let (Breakage::PolicyVersionMayDecrease, DistributionEvent::PeerVersion { version, .. }) =
-            (self.breakage, &event)
+        if let (
+            Breakage::PolicyVersionMayDecrease,
+            DistributionEvent::PeerVersion { version, .. },
+        ) = (self.breakage, &event)
         {
             self.nodes[node].unchecked_policy = Some(*version);
         }
