--- a/crates/spurpier-pipeline/src/configuration/mod.rs
+++ b/crates/spurpier-pipeline/src/configuration/mod.rs
@@ -20,7 +20,7 @@
 use crate::follow::RowSink;
 use crate::ports::{Configuration, GroupSettings, KeyDigest, Quota, Route, Row, Table, Tenant};
 use crate::quota::TenantQuota;
-use crate::tenant::{Caller, Denied};
+use crate::tenant::{AdmissionError, Caller};
 
 /// How many findings one log line names; thousands of routes may name the same region.
 const MOST_TOLD: usize = 20;
@@ -88,9 +88,15 @@
     ///
     /// # Errors
     ///
-    /// [`Denied`] if the client is not served there.
-    pub fn admit(&self, database: &str, key: Option<KeyDigest>) -> Result<Admitted, Denied> {
-        let route = self.route(database).ok_or(Denied::UnknownDatabase)?;
+    /// [`AdmissionError`] if the client is not served there.
+    pub fn admit(
+        &self,
+        database: &str,
+        key: Option<KeyDigest>,
+    ) -> Result<Admitted, AdmissionError> {
+        let route = self
+            .route(database)
+            .ok_or(AdmissionError::UnknownDatabase)?;
         let Some(holders) = self.holders.as_ref().filter(|_| !route.is_public) else {
             return Ok(Admitted {
                 allowed_regions: route.allowed_regions.clone(),
@@ -99,7 +105,7 @@
             });
         };
         let holder = key.and_then(|key| holders.get(&key));
-        let holder = holder.ok_or(Denied::UnknownKey)?;
+        let holder = holder.ok_or(AdmissionError::UnknownKey)?;
         let tenant = Some(Arc::clone(&holder.name));
         Ok(Admitted {
             allowed_regions: route.allowed_regions.intersection(&holder.allowed_regions),
--- a/crates/spurpier-pipeline/src/forward/caller.rs
+++ b/crates/spurpier-pipeline/src/forward/caller.rs
@@ -10,20 +10,20 @@
 use crate::configuration::region_names;
 use crate::homes::{Home, PeerNode};
 use crate::ports::{Effect, ErrorClass};
-use crate::unit::{Done, NotRun, Unit, Work};
+use crate::unit::{ClientStatement, NotRun, Unit, UnitResult};
 
 /// How much longer than the unit itself its caller waits for the reply.
 const REPLY_SLACK: Duration = Duration::from_millis(60);
 
 /// Runs a statement outside a transaction where its group's connections are.
-pub async fn run_single(unit: &Unit, work: &Work, effect: Effect) -> Done {
+pub async fn run_single(unit: &Unit, work: &ClientStatement, effect: Effect) -> UnitResult {
     unit.count_demand(effect);
-    if let Some(bar) = unit.bar_everywhere(effect) {
-        return Done::answer(unit.refuse(&work.id, NotRun::Barred(bar)));
+    if let Some(bar) = unit.bar_on_all_servers(effect) {
+        return UnitResult::answer(unit.refuse(&work.id, NotRun::Barred(bar)));
     }
     await_list(unit).await;
     let mut was_lost = false;
-    for home in usable(unit, unit.needs_lead(effect)) {
+    for home in usable(unit, unit.needs_leader(effect)) {
         let Home::Peer(home) = home else {
             return run_at_home(unit, work, effect).await;
         };
@@ -32,23 +32,27 @@
         };
         let call = single(unit, work, effect, false);
         match call_within_time(unit, &link, call, effect == Effect::Read).await {
-            UnitOutcome::Answered(answer) => return Done::of_call(answer),
+            UnitOutcome::Answered(answer) => return UnitResult::from_forwarded(answer),
             UnitOutcome::NotStarted => {}
             UnitOutcome::Lost if effect == Effect::Write => {
-                return Done::answer(unit.doubt(&work.id, ErrorClass::InDoubt, &home.name));
+                return UnitResult::answer(unit.unknown_outcome(
+                    &work.id,
+                    ErrorClass::InDoubt,
+                    &home.name,
+                ));
             }
             UnitOutcome::Lost => {
                 was_lost = true;
-                unit.note_retry(&work.id, &home.name, "home_silent");
+                unit.record_retry(&work.id, &home.name, "home_silent");
                 if !unit.context.may_retry() {
                     break;
                 }
             }
         }
     }
-    if unit.context.clock.now() >= unit.times.wait_until {
-        return Done::answer(if was_lost {
-            unit.doubt(&work.id, ErrorClass::Timeout, "no home")
+    if unit.context.clock.now() >= unit.deadlines.wait_until {
+        return UnitResult::answer(if was_lost {
+            unit.unknown_outcome(&work.id, ErrorClass::Timeout, "no home")
         } else {
             unit.refuse(&work.id, NotRun::NoHome)
         });
@@ -59,36 +63,40 @@
 
 /// Waits until this node knows the other nodes, as right after its start.
 pub(super) async fn await_list(unit: &Unit) {
-    let limit = unit.context.clock.instant(unit.times.wait_until);
+    let limit = unit.context.clock.instant(unit.deadlines.wait_until);
     unit.context.homes.await_list(limit).await;
 }
 
 /// Runs a statement on this node's connections, or at another home that is better off.
-pub(super) async fn run_at_home(unit: &Unit, work: &Work, effect: Effect) -> Done {
-    if let Some(relay) = unit.better_home(effect)
+pub(super) async fn run_at_home(unit: &Unit, work: &ClientStatement, effect: Effect) -> UnitResult {
+    if let Some(relay) = unit.preferred_home(effect)
         && let Some(link) = connect(unit, &relay).await
     {
         let call = single(unit, work, effect, true);
         match call_within_time(unit, &link, call, effect == Effect::Read).await {
-            UnitOutcome::Answered(answer) => return Done::of_call(answer),
+            UnitOutcome::Answered(answer) => return UnitResult::from_forwarded(answer),
             UnitOutcome::NotStarted => {}
             UnitOutcome::Lost if effect == Effect::Write => {
-                return Done::answer(unit.doubt(&work.id, ErrorClass::InDoubt, &relay.name));
+                return UnitResult::answer(unit.unknown_outcome(
+                    &work.id,
+                    ErrorClass::InDoubt,
+                    &relay.name,
+                ));
             }
-            UnitOutcome::Lost => unit.note_retry(&work.id, &relay.name, "relay_silent"),
+            UnitOutcome::Lost => unit.record_retry(&work.id, &relay.name, "relay_silent"),
         }
     }
-    unit.run_here(work, effect).await
+    unit.run_locally(work, effect).await
 }
 
 /// The homes that may be given the unit and have not just failed to answer, in the order in which
 /// they are tried. This node, to which the client is connected, knows the unit wherever it stands.
-pub(super) fn usable(unit: &Unit, needs_lead: bool) -> Vec<Home> {
+pub(super) fn usable(unit: &Unit, needs_leader: bool) -> Vec<Home> {
     let context = &unit.context;
     let homes = context.homes_of(&unit.group.name);
     let mut homes = match &unit.caller.tenant {
         Some(tenant) => {
-            let zone = needs_lead.then(|| unit.lead_zone()).flatten();
+            let zone = needs_leader.then(|| unit.leader_zone()).flatten();
             let zone = zone.unwrap_or_else(|| unit.nearest_zone(&homes));
             context.homes.ranked_for(&homes, tenant, &zone)
         }
@@ -96,21 +104,21 @@
     };
     homes.retain(|home| match home {
         Home::Own => true,
-        Home::Peer(peer) => context.links.is_usable(peer.address) && unit.may_go_to(peer),
+        Home::Peer(peer) => context.links.is_usable(peer.address) && unit.may_run_on(peer),
     });
     homes
 }
 
 pub(super) async fn connect(unit: &Unit, home: &PeerNode) -> Option<Arc<Link>> {
     let context = &unit.context;
-    let until = unit.times.wait_until;
+    let until = unit.deadlines.wait_until;
     context
         .links
         .link(home.address, &context.clock, until)
         .await
 }
 
-fn single(unit: &Unit, work: &Work, effect: Effect, relayed: bool) -> Call {
+fn single(unit: &Unit, work: &ClientStatement, effect: Effect, relayed: bool) -> Call {
     Call::Single {
         head: head(unit, relayed),
         work: CalledWork::from(work),
@@ -136,7 +144,7 @@
 }
 
 pub(super) fn session(unit: &Unit) -> CalledSession {
-    let waited = unit.times.waited(unit.context.clock.now());
+    let waited = unit.deadlines.waited(unit.context.clock.now());
     CalledSession::new(waited, &unit.values)
 }
 
@@ -159,7 +167,7 @@
     may_repeat: bool,
 ) -> UnitOutcome {
     unit.context.metrics.count_call_made();
-    let end = unit.times.give_up + REPLY_SLACK;
+    let end = unit.deadlines.run_until + REPLY_SLACK;
     let end = unit.context.clock.instant(end);
     match link.call_until(call, end, may_repeat).await {
         Outcome::Replied(Reply::Answered(answer)) => UnitOutcome::Answered(answer),
--- a/crates/spurpier-pipeline/src/forward/messages.rs
+++ b/crates/spurpier-pipeline/src/forward/messages.rs
@@ -24,7 +24,7 @@
 use crate::quota::{LeaveAnswer, LeaveQuestion};
 use crate::server::Values;
 use crate::tenant::Caller;
-use crate::unit::{PreparedUse, Work};
+use crate::unit::{ClientStatement, PreparedExecution};
 
 /// The version of the messages; nodes of different versions do not forward to each other.
 pub const VERSION: u16 = 8;
@@ -205,7 +205,7 @@
     OwnWrites(u32),
 }
 
-/// [`Work`] as a message carries it.
+/// [`ClientStatement`] as a message carries it.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
 pub struct CalledWork {
     id: LongText,
@@ -352,8 +352,8 @@
     }
 }
 
-impl From<&Work> for CalledWork {
-    fn from(work: &Work) -> Self {
+impl From<&ClientStatement> for CalledWork {
+    fn from(work: &ClientStatement) -> Self {
         let prepared = work.prepared.as_ref().map(|prepared| CalledPrepared {
             effect: prepared.effect,
             shape: LongText(prepared.shape.clone()),
@@ -367,15 +367,15 @@
     }
 }
 
-impl From<CalledWork> for Work {
+impl From<CalledWork> for ClientStatement {
     fn from(work: CalledWork) -> Self {
         let (id, text) = (work.id.0, work.text.0);
         match work.prepared {
-            None => Work::plain(id, text),
-            Some(prepared) => Work::execution(
+            None => ClientStatement::plain(id, text),
+            Some(prepared) => ClientStatement::execution(
                 id,
                 text,
-                PreparedUse {
+                PreparedExecution {
                     effect: prepared.effect,
                     shape: prepared.shape.0,
                     arguments: prepared.arguments.0,
--- a/crates/spurpier-pipeline/src/forward/server.rs
+++ b/crates/spurpier-pipeline/src/forward/server.rs
@@ -25,7 +25,7 @@
 use crate::ports::{Answer, Effect, ErrorClass, Route, TransactionState};
 use crate::quota::answer_question;
 use crate::tenant::Caller;
-use crate::unit::{Times, Unit, Work};
+use crate::unit::{ClientStatement, Deadlines, Unit};
 
 /// The pause after a failed accept, as when descriptors have run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
@@ -176,7 +176,8 @@
     async fn run(&self, number: u64, call: Call) -> Reply {
         match call {
             Call::Single { head, work, effect } => {
-                self.run_single(head, Work::from(work), effect).await
+                self.run_single(head, ClientStatement::from(work), effect)
+                    .await
             }
             Call::Begin {
                 head,
@@ -184,7 +185,7 @@
                 transaction,
                 read_only,
             } => {
-                self.begin(head, Work::from(work), transaction, read_only)
+                self.begin(head, ClientStatement::from(work), transaction, read_only)
                     .await
             }
             Call::Within {
@@ -193,14 +194,17 @@
                 work,
                 effect,
             } => {
-                self.run_within(transaction, &session, Work::from(work), effect)
+                self.run_within(transaction, &session, ClientStatement::from(work), effect)
                     .await
             }
             Call::Commit {
                 transaction,
                 session,
                 work,
-            } => self.commit(transaction, &session, Work::from(work)).await,
+            } => {
+                self.commit(transaction, &session, ClientStatement::from(work))
+                    .await
+            }
             Call::Leaves(question) => {
                 answer_question(&self.context, question).map_or(Reply::NotTaken, Reply::Leaves)
             }
@@ -296,7 +300,7 @@
         }
     }
 
-    async fn run_single(&self, head: CallHead, work: Work, effect: Effect) -> Reply {
+    async fn run_single(&self, head: CallHead, work: ClientStatement, effect: Effect) -> Reply {
         let relayed = head.relayed;
         let Some(unit) = self.unit(head) else {
             return Reply::NotTaken;
@@ -305,14 +309,20 @@
             return Reply::Answered(CalledAnswer::new(answer, None));
         }
         let done = if relayed {
-            unit.run_here(&work, effect).await
+            unit.run_locally(&work, effect).await
         } else {
             run_at_home(&unit, &work, effect).await
         };
         Reply::Answered(CalledAnswer::new(done.answer, done.committed))
     }
 
-    async fn begin(&self, head: CallHead, work: Work, number: u64, read_only: bool) -> Reply {
+    async fn begin(
+        &self,
+        head: CallHead,
+        work: ClientStatement,
+        number: u64,
+        read_only: bool,
+    ) -> Reply {
         let may_relay = !head.relayed;
         let Some(unit) = self.unit(head) else {
             return Reply::NotTaken;
@@ -343,7 +353,7 @@
         let waited = duration(session.waited_ms);
         let clock = &self.context.clock;
         transaction.prepare(&session.session_values(), |unit| {
-            Times::of_waited(&unit.route, clock, waited)
+            Deadlines::for_forwarded(&unit.route, clock, waited)
         });
         Some(transaction)
     }
@@ -352,7 +362,7 @@
         &self,
         number: u64,
         session: &CalledSession,
-        work: Work,
+        work: ClientStatement,
         effect: Effect,
     ) -> Reply {
         let Some(mut transaction) = self.take(number, session) else {
@@ -370,7 +380,7 @@
         Reply::Answered(CalledAnswer::new(answer, None))
     }
 
-    async fn commit(&self, number: u64, session: &CalledSession, work: Work) -> Reply {
+    async fn commit(&self, number: u64, session: &CalledSession, work: ClientStatement) -> Reply {
         let Some(transaction) = self.take(number, session) else {
             return Reply::NotTaken;
         };
@@ -410,7 +420,11 @@
             allowed_regions,
             values: head.session.session_values(),
             own_commit,
-            times: Times::of_waited(&route, &context.clock, duration(head.session.waited_ms)),
+            deadlines: Deadlines::for_forwarded(
+                &route,
+                &context.clock,
+                duration(head.session.waited_ms),
+            ),
             route,
             configuration: head.configuration,
         })
--- a/crates/spurpier-pipeline/src/forward/transaction.rs
+++ b/crates/spurpier-pipeline/src/forward/transaction.rs
@@ -8,7 +8,7 @@
 use crate::homes::{Home, PeerNode};
 use crate::ports::{Answer, Effect, ErrorClass, TransactionState};
 use crate::server::Values;
-use crate::unit::{Done, NotRun, OpenTransaction, Times, Unit, Work};
+use crate::unit::{ClientStatement, Deadlines, NotRun, OpenTransaction, Unit, UnitResult};
 
 /// A transaction that stands open.
 pub enum PlacedTransaction {
@@ -21,14 +21,18 @@
 impl PlacedTransaction {
     /// Opens a transaction where the group's connections are; gives the client's answer, and the
     /// transaction if it is open.
-    pub async fn begin(unit: Unit, work: &Work, read_only: bool) -> (Answer, Option<Self>) {
+    pub async fn begin(
+        unit: Unit,
+        work: &ClientStatement,
+        read_only: bool,
+    ) -> (Answer, Option<Self>) {
         let effect = opening_effect(read_only);
         unit.count_demand(effect);
-        if let Some(bar) = unit.bar_everywhere(effect) {
+        if let Some(bar) = unit.bar_on_all_servers(effect) {
             return (unit.refuse(&work.id, NotRun::Barred(bar)), None);
         }
         await_list(&unit).await;
-        for home in usable(&unit, unit.needs_lead(effect)) {
+        for home in usable(&unit, unit.needs_leader(effect)) {
             let Home::Peer(home) = home else {
                 return Self::begin_at_home(unit, work, read_only, true).await;
             };
@@ -40,7 +44,7 @@
                 Begun::NotTaken => {}
             }
         }
-        if unit.context.clock.now() >= unit.times.wait_until {
+        if unit.context.clock.now() >= unit.deadlines.wait_until {
             return (unit.refuse(&work.id, NotRun::NoHome), None);
         }
         unit.stand_in();
@@ -51,12 +55,12 @@
     /// may be handed on.
     pub async fn begin_at_home(
         unit: Unit,
-        work: &Work,
+        work: &ClientStatement,
         read_only: bool,
         may_relay: bool,
     ) -> (Answer, Option<Self>) {
         let effect = opening_effect(read_only);
-        if may_relay && let Some(relay) = unit.better_home(effect) {
+        if may_relay && let Some(relay) = unit.preferred_home(effect) {
             match begin_there(&unit, work, read_only, &relay, true).await {
                 Begun::Open(link, number, answer) => {
                     return opened(unit, link, number, relay, answer);
@@ -90,17 +94,17 @@
     }
 
     /// Takes in what the next statement must know of the session.
-    pub fn prepare(&mut self, values: &Values, times: impl FnOnce(&Unit) -> Times) {
+    pub fn prepare(&mut self, values: &Values, deadlines: impl FnOnce(&Unit) -> Deadlines) {
         let unit = match self {
             PlacedTransaction::Here(transaction) => &mut transaction.unit,
             PlacedTransaction::There(transaction) => &mut transaction.unit,
         };
         unit.values.clone_from(values);
-        unit.times = times(unit);
+        unit.deadlines = deadlines(unit);
     }
 
     /// Runs a statement.
-    pub async fn run(&mut self, work: &Work, effect: Effect) -> Answer {
+    pub async fn run(&mut self, work: &ClientStatement, effect: Effect) -> Answer {
         match self {
             PlacedTransaction::Here(transaction) => {
                 transaction.run(work, effect == Effect::Write).await
@@ -110,7 +114,7 @@
     }
 
     /// Commits.
-    pub async fn commit(self, work: &Work) -> Done {
+    pub async fn commit(self, work: &ClientStatement) -> UnitResult {
         match self {
             PlacedTransaction::Here(transaction) => transaction.commit(work).await,
             PlacedTransaction::There(transaction) => transaction.commit(work).await,
@@ -147,7 +151,7 @@
 
 async fn begin_there(
     unit: &Unit,
-    work: &Work,
+    work: &ClientStatement,
     read_only: bool,
     home: &PeerNode,
     relayed: bool,
@@ -175,7 +179,7 @@
         UnitOutcome::Lost => {
             // What may stand open there is dropped; nothing of the client's has run in it.
             link.drop_transaction(transaction);
-            unit.note_retry(&work.id, &home.name, "home_silent");
+            unit.record_retry(&work.id, &home.name, "home_silent");
             Begun::NotTaken
         }
     }
@@ -233,7 +237,7 @@
         }
     }
 
-    async fn run(&mut self, work: &Work, effect: Effect) -> Answer {
+    async fn run(&mut self, work: &ClientStatement, effect: Effect) -> Answer {
         let Some(place) = self.place.take() else {
             return Answer::error(ErrorClass::Malformed, "failed", TransactionState::Failed);
         };
@@ -256,15 +260,15 @@
         }
     }
 
-    fn aborted(&self, work: &Work, why: &str) -> Answer {
+    fn aborted(&self, work: &ClientStatement, why: &str) -> Answer {
         self.unit.abort(&work.id, &self.home.name, why)
     }
 
-    async fn commit(mut self, work: &Work) -> Done {
+    async fn commit(mut self, work: &ClientStatement) -> UnitResult {
         let Some(mut place) = self.place.take() else {
             let text = "the transaction had failed";
             let answer = Answer::error(ErrorClass::Aborted, text, TransactionState::Idle);
-            return Done::answer(answer);
+            return UnitResult::answer(answer);
         };
         let call = Call::Commit {
             transaction: place.number,
@@ -274,18 +278,18 @@
         match call_within_time(&self.unit, &place.link, call, false).await {
             UnitOutcome::Answered(answer) => {
                 place.is_committed = true;
-                Done::of_call(answer)
+                UnitResult::from_forwarded(answer)
             }
             UnitOutcome::NotStarted => {
                 let mut answer = self.aborted(work, "home_not_taken");
                 answer.state = TransactionState::Idle;
-                Done::answer(answer)
+                UnitResult::answer(answer)
             }
             UnitOutcome::Lost => {
-                let doubt = self
-                    .unit
-                    .doubt(&work.id, ErrorClass::InDoubt, &self.home.name);
-                Done::answer(doubt)
+                let unknown_outcome =
+                    self.unit
+                        .unknown_outcome(&work.id, ErrorClass::InDoubt, &self.home.name);
+                UnitResult::answer(unknown_outcome)
             }
         }
     }
--- a/crates/spurpier-pipeline/src/places/closing.rs
+++ b/crates/spurpier-pipeline/src/places/closing.rs
@@ -49,7 +49,7 @@
 /// Closes unused connections to a zone's servers, and those of transactions that rest. A server that
 /// sees its connection closed drops the transaction; nothing has to be sent for that.
 fn close(context: &Context, zone: &str) {
-    let transactions = context.places.open_transactions.end_in(zone);
+    let transactions = context.places.open_transactions.close_in_zone(zone);
     log_event!(
         events::ZONE_CLOSED,
         zone = zone,
--- a/crates/spurpier-pipeline/src/ports/statement.rs
+++ b/crates/spurpier-pipeline/src/ports/statement.rs
@@ -4,7 +4,7 @@
 use nanoserde::{DeBin, SerBin};
 use spurpier_core::position::Position;
 
-use crate::tenant::Denied;
+use crate::tenant::AdmissionError;
 
 /// Whether a statement changes data.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, SerBin, DeBin)]
@@ -178,7 +178,7 @@
     }
 
     /// The answer of a statement whose client is not served.
-    pub fn denied(denied: Denied) -> Self {
+    pub fn denied(denied: AdmissionError) -> Self {
         let error = denied.error();
         Answer::error(error.class, error.text, TransactionState::Idle)
     }
--- a/crates/spurpier-pipeline/src/promotion/successor.rs
+++ b/crates/spurpier-pipeline/src/promotion/successor.rs
@@ -17,7 +17,7 @@
     FencingToken, Promotion, PromotionAnswer, ServerRequest, ServerRole, ServerStatus, StoreError,
 };
 use crate::server::{ConnectionNeed, Server, Values};
-use crate::unit::{Place, own_attempt};
+use crate::unit::{LeasedConnection, internal_attempt};
 
 /// How long a server may take to provide a connection for a request.
 const CONNECTION_TIMEOUT: Duration = Duration::from_millis(400);
@@ -80,9 +80,9 @@
     let values = Values::new();
     let need = ConnectionNeed::own(&values);
     let lease = server.pool.acquire(need, until).await.ok()?;
-    let place = Place::new(Arc::clone(server), lease);
+    let leased = LeasedConnection::new(Arc::clone(server), lease);
     let until = clock.now() + STATUS_TIMEOUT;
-    let (_place, result) = own_attempt(clock, place, request, until).await;
+    let (_leased, result) = internal_attempt(clock, leased, request, until).await;
     let answered = result.ok()?;
     context.server_dialect.read_status(&answered.answer)
 }
--- a/crates/spurpier-pipeline/src/session/mod.rs
+++ b/crates/spurpier-pipeline/src/session/mod.rs
@@ -22,7 +22,7 @@
 use crate::context::Context;
 use crate::events;
 use crate::ports::{ClientMessage, ErrorClass, Request, ServerError, TransactionState};
-use crate::tenant::Denied;
+use crate::tenant::AdmissionError;
 
 /// How long a client may take to open its session.
 const START_UP_LIMIT: Duration = Duration::from_secs(3);
@@ -58,7 +58,7 @@
     let error = match received.ok()? {
         Received::Message(ClientMessage::StartUp { database, key }) => {
             let admitted = match known_configuration(context).await {
-                Some(known) => known.admit(&database, key).map_err(Denied::error),
+                Some(known) => known.admit(&database, key).map_err(AdmissionError::error),
                 None => Err(refusal(
                     ErrorClass::Busy,
                     "retry-after-ms=500 no configuration",
--- a/crates/spurpier-pipeline/src/session/statements.rs
+++ b/crates/spurpier-pipeline/src/session/statements.rs
@@ -10,8 +10,8 @@
 use crate::forward::{PlacedTransaction, run_single};
 use crate::ports::{Answer, Effect, ErrorClass, Request, Statement, TransactionState};
 use crate::quota::{self, OperationLeave, Refused};
-use crate::tenant::Denied;
-use crate::unit::{Done, NotRun, PreparedUse, Times, Unit, Work};
+use crate::tenant::AdmissionError;
+use crate::unit::{ClientStatement, Deadlines, NotRun, PreparedExecution, Unit, UnitResult};
 
 impl SessionState {
     /// Runs a statement and gives its answer.
@@ -70,23 +70,27 @@
             },
             Statement::Execute { name, arguments } => match self.prepared.get(&name) {
                 Some(prepared) => {
-                    let prepared = PreparedUse {
+                    let prepared = PreparedExecution {
                         effect: prepared.effect,
                         shape: prepared.shape.clone(),
                         arguments,
                     };
                     let effect = prepared.effect;
-                    self.run_work(Work::execution(id, text, prepared), effect)
+                    self.run_work(ClientStatement::execution(id, text, prepared), effect)
                         .await
                 }
                 None => unknown_name(state),
             },
-            Statement::Run(effect) => self.run_work(Work::plain(id, text), effect).await,
+            Statement::Run(effect) => {
+                self.run_work(ClientStatement::plain(id, text), effect)
+                    .await
+            }
             Statement::Begin { read_only } if state == TransactionState::Idle => {
-                self.begin(Work::plain(id, text), read_only).await
+                self.begin(ClientStatement::plain(id, text), read_only)
+                    .await
             }
             Statement::Commit if state == TransactionState::Open => {
-                self.commit(Work::plain(id, text)).await
+                self.commit(ClientStatement::plain(id, text)).await
             }
             Statement::Rollback if state == TransactionState::Open => self.roll_back().await,
             Statement::Begin { .. }
@@ -96,10 +100,12 @@
         }
     }
 
-    async fn run_work(&mut self, work: Work, effect: Effect) -> Answer {
+    async fn run_work(&mut self, work: ClientStatement, effect: Effect) -> Answer {
         if let Some(transaction) = &mut self.transaction {
             let clock = &self.context.clock;
-            transaction.prepare(&self.values, |unit| Times::of(&unit.route, clock));
+            transaction.prepare(&self.values, |unit| {
+                Deadlines::for_route(&unit.route, clock)
+            });
             return transaction.run(&work, effect).await;
         }
         let unit = match self.unit() {
@@ -115,7 +121,7 @@
         self.settle(&unit.group.name, done)
     }
 
-    async fn begin(&mut self, work: Work, read_only: bool) -> Answer {
+    async fn begin(&mut self, work: ClientStatement, read_only: bool) -> Answer {
         let unit = match self.unit() {
             Ok(unit) => unit,
             Err(denied) => return Answer::denied(denied),
@@ -132,7 +138,11 @@
 
     /// Takes the leave that an operation of a tenant with a bounded rate needs; gives the answer of
     /// one that must not start.
-    async fn take_leave(&self, unit: &Unit, work: &Work) -> Result<Option<OperationLeave>, Answer> {
+    async fn take_leave(
+        &self,
+        unit: &Unit,
+        work: &ClientStatement,
+    ) -> Result<Option<OperationLeave>, Answer> {
         let Some(tenant) = &unit.caller.tenant else {
             return Ok(None);
         };
@@ -140,7 +150,7 @@
         let Some(quota) = in_force.and_then(|known| known.quota(tenant)) else {
             return Ok(None);
         };
-        let until = unit.times.wait_until;
+        let until = unit.deadlines.wait_until;
         let taken = quota::take_leave(&self.context, tenant, quota, until).await;
         let refuse = |refused: Refused| unit.refuse(&work.id, NotRun::from(refused));
         taken.map(Some).map_err(refuse)
@@ -154,7 +164,7 @@
         }
     }
 
-    async fn commit(&mut self, work: Work) -> Answer {
+    async fn commit(&mut self, work: ClientStatement) -> Answer {
         let Some(mut transaction) = self.transaction.take() else {
             return Answer::error(
                 ErrorClass::Malformed,
@@ -163,7 +173,9 @@
             );
         };
         let clock = &self.context.clock;
-        transaction.prepare(&self.values, |unit| Times::of(&unit.route, clock));
+        transaction.prepare(&self.values, |unit| {
+            Deadlines::for_route(&unit.route, clock)
+        });
         let group = transaction.group_name();
         let done = transaction.commit(&work).await;
         self.settle(&group, done)
@@ -176,8 +188,11 @@
 
     /// The unit of a statement outside a transaction, by the configuration in force now: a route
     /// may have been dropped and a key taken away since the session was opened.
-    fn unit(&self) -> Result<Unit, Denied> {
-        let in_force = self.context.in_force().ok_or(Denied::UnknownDatabase)?;
+    fn unit(&self) -> Result<Unit, AdmissionError> {
+        let in_force = self
+            .context
+            .in_force()
+            .ok_or(AdmissionError::UnknownDatabase)?;
         let admitted = in_force.admit(&self.client.database, self.client.key)?;
         let route = admitted.route;
         let own_commit = self.own_commit.as_ref();
@@ -189,14 +204,14 @@
             allowed_regions: admitted.allowed_regions,
             values: self.values.clone(),
             own_commit: own_commit.map(|(_, commit)| *commit),
-            times: Times::of(&route, &self.context.clock),
+            deadlines: Deadlines::for_route(&route, &self.context.clock),
             route,
             configuration: in_force.configuration.version,
         })
     }
 
     /// Takes in what a unit has committed.
-    fn settle(&mut self, group: &str, done: Done) -> Answer {
+    fn settle(&mut self, group: &str, done: UnitResult) -> Answer {
         if let Some(position) = done.committed {
             self.note_commit(group, position);
         }
--- a/crates/spurpier-pipeline/src/tenant/mod.rs
+++ b/crates/spurpier-pipeline/src/tenant/mod.rs
@@ -30,19 +30,19 @@
 
 /// Why a client is not served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Denied {
+pub enum AdmissionError {
     /// There is no such database.
     UnknownDatabase,
     /// No tenant holds its key.
     UnknownKey,
 }
 
-impl Denied {
+impl AdmissionError {
     /// What the client is told.
     pub fn error(self) -> ServerError {
         let (class, text) = match self {
-            Denied::UnknownDatabase => (ErrorClass::UnknownDatabase, "no such database"),
-            Denied::UnknownKey => (ErrorClass::UnknownKey, "no such key"),
+            AdmissionError::UnknownDatabase => (ErrorClass::UnknownDatabase, "no such database"),
+            AdmissionError::UnknownKey => (ErrorClass::UnknownKey, "no such key"),
         };
         ServerError {
             class,
--- a/crates/spurpier-pipeline/src/unit/attempt.rs
+++ b/crates/spurpier-pipeline/src/unit/attempt.rs
@@ -8,14 +8,14 @@
 use spurpier_core::time::Timestamp;
 
 use super::Unit;
-use super::work::Work;
+use super::statement::ClientStatement;
 use crate::clock::Clock;
 use crate::places::NoLeave;
 use crate::ports::{Answer, ErrorClass, ServerRequest};
 use crate::server::{ExchangeError, Lease, Server, ServerConnection, Values};
 
 /// How long an exchange that nobody awaits may go on before its connection is closed.
-const DETACHED_LIMIT: Duration = Duration::from_secs(3);
+const DETACHED_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// How an attempt ended without an answer for the client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -62,7 +62,7 @@
 
 /// A connection to a server, taken for a unit.
 #[derive(Debug)]
-pub struct Place {
+pub struct LeasedConnection {
     /// The server.
     pub server: Arc<Server>,
     /// The connection.
@@ -70,11 +70,11 @@
     _in_flight: InFlight,
 }
 
-impl Place {
+impl LeasedConnection {
     /// Takes a leased connection.
     pub fn new(server: Arc<Server>, lease: Lease) -> Self {
         let in_flight = InFlight::new(&server);
-        Place {
+        LeasedConnection {
             server,
             lease,
             _in_flight: in_flight,
@@ -89,15 +89,15 @@
 
 /// What is asked of a server once its connection knows the session.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Manner {
+pub enum ExchangeMode {
     /// The statement alone, behind a position if one is given.
-    Alone(Option<Position>),
+    Statement(Option<Position>),
     /// The statement, and right behind it the drop of the transaction that it stands in.
-    ThenRollBack,
+    StatementAndRollback,
 }
 
 /// An answer, and when the statement left.
-pub struct Answered {
+pub struct TimedAnswer {
     /// The answer.
     pub answer: Answer,
     /// When the statement left.
@@ -111,23 +111,23 @@
     /// work is not cut off and its connection can be used again.
     pub async fn attempt(
         &self,
-        mut place: Place,
-        work: &Work,
-        manner: Manner,
+        mut leased: LeasedConnection,
+        statement: &ClientStatement,
+        mode: ExchangeMode,
         until: Timestamp,
-    ) -> (Option<Place>, Result<Answered, Failure>) {
-        let server = Arc::clone(&place.server);
+    ) -> (Option<LeasedConnection>, Result<TimedAnswer, Failure>) {
+        let server = Arc::clone(&leased.server);
         let clock = self.context.clock.clone();
-        let work = work.clone();
+        let statement = statement.clone();
         let values = self.values.clone();
         let started = clock.now();
         let inner_clock = clock.clone();
         let exchange = async move {
-            let result = exchange(&mut place, &inner_clock, &work, &values, manner).await;
-            (place, result)
+            let result = exchange(&mut leased, &inner_clock, &statement, &values, mode).await;
+            (leased, result)
         };
-        match within(&clock, until, exchange).await {
-            Some((place, Ok(answered))) => {
+        match await_or_detach(&clock, until, exchange).await {
+            Some((leased, Ok(answered))) => {
                 server.note_answer(answered.sent_at);
                 let now = clock.now();
                 if let Some(position) = answered.answer.position {
@@ -137,13 +137,13 @@
                     // A refusal is fast and says nothing of the server's work.
                     server.health().note_time(now.since(started));
                 }
-                (Some(place), Ok(answered))
+                (Some(leased), Ok(answered))
             }
-            Some((place, Err(failure))) => {
+            Some((leased, Err(failure))) => {
                 if matches!(failure, Failure::Broken | Failure::NotSent) {
                     server.note_silence(&clock);
                 }
-                drop(place);
+                drop(leased);
                 (None, Err(failure))
             }
             None => {
@@ -155,51 +155,51 @@
 }
 
 async fn exchange(
-    place: &mut Place,
+    leased: &mut LeasedConnection,
     clock: &Clock,
-    work: &Work,
+    statement: &ClientStatement,
     values: &Values,
-    manner: Manner,
-) -> Result<Answered, Failure> {
-    let connection = place.connection()?;
-    make_known(connection, values, work).await?;
+    mode: ExchangeMode,
+) -> Result<TimedAnswer, Failure> {
+    let connection = leased.connection()?;
+    prepare_connection(connection, values, statement).await?;
     let sent_at = clock.now();
-    let answer = match manner {
-        Manner::Alone(after) => connection.exchange(&work.request(after)).await?,
-        Manner::ThenRollBack => {
+    let answer = match mode {
+        ExchangeMode::Statement(after) => connection.exchange(&statement.request(after)).await?,
+        ExchangeMode::StatementAndRollback => {
             connection
-                .exchange_and_roll_back(&work.request(None))
+                .exchange_and_roll_back(&statement.request(None))
                 .await?
         }
     };
     if answer.error_class() == Some(ErrorClass::UnknownName) {
         connection.prepared.clear();
     }
-    Ok(Answered { answer, sent_at })
+    Ok(TimedAnswer { answer, sent_at })
 }
 
 /// Gives the connection the session's values and the prepared statement that the work uses.
-pub async fn make_known(
+pub async fn prepare_connection(
     connection: &mut ServerConnection,
     values: &Values,
-    work: &Work,
+    statement: &ClientStatement,
 ) -> Result<(), Failure> {
     if connection.values != *values {
         set_values(connection, values).await?;
     }
-    let Some(prepared) = &work.prepared else {
+    let Some(prepared) = &statement.prepared else {
         return Ok(());
     };
-    if connection.prepared.contains(work.server_name()) {
+    if connection.prepared.contains(statement.server_name()) {
         return Ok(());
     }
     let request = ServerRequest::Prepare {
-        name: work.server_name(),
+        name: statement.server_name(),
         effect: prepared.effect,
         shape: &prepared.shape,
     };
-    own_exchange(connection, &request).await?;
-    let name = work.server_name().to_owned();
+    internal_exchange(connection, &request).await?;
+    let name = statement.server_name().to_owned();
     connection.prepared.insert(name);
     Ok(())
 }
@@ -210,7 +210,7 @@
         .keys()
         .any(|name| !values.contains_key(name));
     if has_foreign {
-        own_exchange(connection, &ServerRequest::Reset).await?;
+        internal_exchange(connection, &ServerRequest::Reset).await?;
         connection.values.clear();
         connection.prepared.clear();
     }
@@ -218,14 +218,14 @@
         if connection.values.get(name) == Some(value) {
             continue;
         }
-        own_exchange(connection, &ServerRequest::Set { name, value }).await?;
+        internal_exchange(connection, &ServerRequest::Set { name, value }).await?;
         connection.values.insert(name.clone(), value.clone());
     }
     Ok(())
 }
 
 /// Runs a statement of the proxy's own that must succeed.
-async fn own_exchange(
+async fn internal_exchange(
     connection: &mut ServerConnection,
     request: &ServerRequest<'_>,
 ) -> Result<(), Failure> {
@@ -242,7 +242,7 @@
 }
 
 /// Awaits an exchange until a moment; then it goes on alone for a while. None if it does.
-async fn within<T: Send + 'static>(
+async fn await_or_detach<T: Send + 'static>(
     clock: &Clock,
     until: Timestamp,
     exchange: impl Future<Output = T> + Send + 'static,
@@ -252,30 +252,30 @@
     if let Ok(done) = tokio::time::timeout_at(end, &mut exchange).await {
         return Some(done);
     }
-    tokio::spawn(tokio::time::timeout(DETACHED_LIMIT, exchange));
+    tokio::spawn(tokio::time::timeout(DETACHED_TIMEOUT, exchange));
     None
 }
 
 /// Runs a statement of the proxy's own on a taken connection, at most until `until`.
-pub async fn own_attempt(
+pub async fn internal_attempt(
     clock: &Clock,
-    mut place: Place,
+    mut leased: LeasedConnection,
     request: ServerRequest<'static>,
     until: Timestamp,
-) -> (Option<Place>, Result<Answered, Failure>) {
-    let server = Arc::clone(&place.server);
+) -> (Option<LeasedConnection>, Result<TimedAnswer, Failure>) {
+    let server = Arc::clone(&leased.server);
     let sent_at = clock.now();
     let exchange = async move {
-        let answer = match place.connection() {
+        let answer = match leased.connection() {
             Ok(connection) => connection.exchange(&request).await.map_err(Failure::from),
             Err(failure) => Err(failure),
         };
-        (place, answer)
+        (leased, answer)
     };
-    match within(clock, until, exchange).await {
-        Some((place, Ok(answer))) => {
+    match await_or_detach(clock, until, exchange).await {
+        Some((leased, Ok(answer))) => {
             server.note_answer(sent_at);
-            (Some(place), Ok(Answered { answer, sent_at }))
+            (Some(leased), Ok(TimedAnswer { answer, sent_at }))
         }
         Some((_, Err(failure @ Failure::Cold(_)))) => (None, Err(failure)),
         Some((_, Err(failure))) => {
--- a/crates/spurpier-pipeline/src/unit/lead.rs
+++ b/crates/spurpier-pipeline/src/unit/leader.rs
@@ -9,7 +9,7 @@
 use spurpier_core::time::Timestamp;
 use spurpier_events::log_event;
 
-use super::attempt::{Failure, Place, own_attempt};
+use super::attempt::{Failure, LeasedConnection, internal_attempt};
 use super::{NotRun, Unit};
 use crate::context::Context;
 use crate::events;
@@ -19,29 +19,29 @@
 use crate::server::{AcquireError, ConnectionNeed, OpenError, Server, Values};
 
 /// How long the lead may take to open a transaction before it counts as silent.
-const BEGIN_LIMIT: Duration = Duration::from_millis(500);
+const BEGIN_TIMEOUT: Duration = Duration::from_millis(500);
 /// How often a unit that waits for a lead looks again.
-const RECHECK: Duration = Duration::from_millis(40);
+const RECHECK_INTERVAL: Duration = Duration::from_millis(40);
 /// The pause after a server refused a connection or the opening of a transaction.
-const REFUSAL_PAUSE: Duration = Duration::from_millis(20);
+const REFUSAL_DELAY: Duration = Duration::from_millis(20);
 
 /// A transaction that the lead has opened.
-pub struct Begun {
+pub struct LeaderTransaction {
     /// The connection.
-    pub place: Place,
+    pub leased: LeasedConnection,
     /// The position that the lead showed.
     pub position: Position,
 }
 
 /// Takes a connection to the server that is most likely to lead, at most until `until`; at once
 /// none if that server may not be used in these regions.
-pub async fn take_lead(
+pub async fn acquire_leader(
     context: &Context,
     group: &Group,
     need: ConnectionNeed<'_>,
     allowed: &AllowedRegions,
     until: Timestamp,
-) -> Result<Place, NotRun> {
+) -> Result<LeasedConnection, NotRun> {
     let clock = &context.clock;
     let mut changes = group.changes();
     loop {
@@ -49,22 +49,22 @@
         let candidate = group
             .lead_candidate(clock.now(), context.leaving_use())
             .filter(|_| context.holds_lease(group));
-        let mut missing = NotRun::NoLead;
-        if let Some(server) = candidate.filter(|server| answers(server, clock.now())) {
+        let mut missing = NotRun::NoLeader;
+        if let Some(server) = candidate.filter(|server| is_responsive(server, clock.now())) {
             if let Some(bar) = context.places.bar_to_lead(allowed, &server, clock.now()) {
                 return Err(NotRun::Barred(bar));
             }
             match server.pool.acquire(need, until).await {
                 Ok(lease) => {
-                    let mut place = Place::new(server, lease);
-                    if holds_what_was_shown(context, group, &mut place) {
-                        return Ok(place);
+                    let mut leased = LeasedConnection::new(server, lease);
+                    if has_observed_log(context, group, &mut leased) {
+                        return Ok(leased);
                     }
                     continue;
                 }
                 Err(AcquireError::Full) => return Err(NotRun::NoConnection),
                 Err(AcquireError::Open(OpenError::Refused(ErrorClass::TooManyConnections))) => {
-                    tokio::time::sleep(REFUSAL_PAUSE).await;
+                    tokio::time::sleep(REFUSAL_DELAY).await;
                     missing = NotRun::NoConnection;
                 }
                 // The next look finds it barred.
@@ -79,7 +79,7 @@
         if clock.now() >= until {
             return Err(missing);
         }
-        let recheck = clock.instant(until.min(clock.now() + RECHECK));
+        let recheck = clock.instant(until.min(clock.now() + RECHECK_INTERVAL));
         // Nothing is lost if the time passes first: the loop looks again.
         let _ = tokio::time::timeout_at(recheck, changes.changed()).await;
     }
@@ -89,65 +89,66 @@
 ///
 /// A primary that has started again without its log would take a write, and give its replicas the
 /// empty log. That is seen before anything is sent, as the connection is a new one.
-fn holds_what_was_shown(context: &Context, group: &Group, place: &mut Place) -> bool {
-    let server = Arc::clone(&place.server);
-    let Ok(connection) = place.connection() else {
+fn has_observed_log(context: &Context, group: &Group, leased: &mut LeasedConnection) -> bool {
+    let server = Arc::clone(&leased.server);
+    let Ok(connection) = leased.connection() else {
         return true;
     };
     let shown = connection.first_shown;
     let Err(why) = group.check_shown(&server, shown) else {
         return true;
     };
-    refuse_lead(context, group, &server, why, shown.position);
+    reject_leader(context, group, &server, why, shown.position);
     false
 }
 
 /// Whether a server is worth asking: not one that has just left several messages unanswered.
-fn answers(server: &Server, now: Timestamp) -> bool {
+fn is_responsive(server: &Server, now: Timestamp) -> bool {
     let health = server.health();
     !health.is_silent() || health.avoided_until <= now
 }
 
 /// Has the lead open a transaction that may write, which proves the lead; at most until `until`.
-pub async fn begin_on_lead(
+pub async fn begin_on_leader(
     context: &Context,
     group: &Group,
     need: ConnectionNeed<'_>,
     allowed: &AllowedRegions,
     until: Timestamp,
-) -> Result<Begun, NotRun> {
+) -> Result<LeaderTransaction, NotRun> {
     let clock = &context.clock;
     loop {
-        let place = take_lead(context, group, need, allowed, until).await?;
-        let server = Arc::clone(&place.server);
-        let limit = clock.now() + BEGIN_LIMIT;
-        let (place, result) = own_attempt(clock, place, ServerRequest::Begin, limit).await;
-        let reason = match (place, result) {
-            (Some(place), Ok(answered)) if answered.answer.outcome.is_ok() => {
+        let leased = acquire_leader(context, group, need, allowed, until).await?;
+        let server = Arc::clone(&leased.server);
+        let deadline = clock.now() + BEGIN_TIMEOUT;
+        let (leased, result) =
+            internal_attempt(clock, leased, ServerRequest::Begin, deadline).await;
+        let reason = match (leased, result) {
+            (Some(leased), Ok(answered)) if answered.answer.outcome.is_ok() => {
                 let may_lead = context.may_lead(group, &server);
                 if may_lead && answered.answer.state == TransactionState::Open {
                     let position = answered.answer.position;
-                    let proved = take_proof(context, group, &server, answered.sent_at, position);
+                    let proved = record_proof(context, group, &server, answered.sent_at, position);
                     if proved {
                         let position = position.unwrap_or(Position::ZERO);
-                        return Ok(Begun { place, position });
+                        return Ok(LeaderTransaction { leased, position });
                     }
                 }
-                NotRun::NoLead
+                NotRun::NoLeader
             }
             (_, Ok(answered)) => match answered.answer.error_class() {
                 Some(ErrorClass::ReadOnly) => {
                     group.note_denial(&server, clock.now());
-                    NotRun::NoLead
+                    NotRun::NoLeader
                 }
                 _ => {
                     // A server that sheds work is not asked as fast as it refuses.
-                    tokio::time::sleep(REFUSAL_PAUSE).await;
+                    tokio::time::sleep(REFUSAL_DELAY).await;
                     NotRun::ServerBusy
                 }
             },
             (_, Err(Failure::Cold(no_leave))) => return Err(no_leave.into()),
-            (_, Err(_)) => NotRun::NoLead,
+            (_, Err(_)) => NotRun::NoLeader,
         };
         if clock.now() >= until {
             return Err(reason);
@@ -157,7 +158,7 @@
 
 /// Takes in what a server has shown by accepting what only the lead accepts; false if its answer is
 /// not to be believed, and the server not to be used as the lead.
-pub fn take_proof(
+pub fn record_proof(
     context: &Context,
     group: &Group,
     server: &Server,
@@ -169,12 +170,12 @@
     let Err(why) = group.note_proof(server, proof, context.clock.now()) else {
         return true;
     };
-    refuse_lead(context, group, server, why, position);
+    reject_leader(context, group, server, why, position);
     false
 }
 
 /// Does not use a server as the lead for now.
-fn refuse_lead(
+fn reject_leader(
     context: &Context,
     group: &Group,
     server: &Server,
@@ -215,8 +216,8 @@
         if let Some(_turn) = group.start_proving() {
             let values = Values::new();
             let need = ConnectionNeed::own(&values);
-            let mut begun = begin_patiently(context, group, need, until).await?;
-            if let Ok(connection) = begun.place.connection() {
+            let mut opened = begin_with_retry(context, group, need, until).await?;
+            if let Ok(connection) = opened.leased.connection() {
                 // A connection that breaks here is closed when the place is dropped.
                 let _ = connection.roll_back().await;
             }
@@ -225,52 +226,52 @@
         let end = clock.instant(until);
         let changed = tokio::time::timeout_at(end, changes.changed()).await;
         changed
-            .map_err(|_| NotRun::NoLead)?
-            .map_err(|_| NotRun::NoLead)?;
+            .map_err(|_| NotRun::NoLeader)?
+            .map_err(|_| NotRun::NoLeader)?;
     }
 }
 
-/// As [`begin_on_lead`], for a proof that many reads share: where a cold lead takes no more for
+/// As [`begin_on_leader`], for a proof that many reads share: where a cold lead takes no more for
 /// now, it is asked again, so that reads on warm replicas need not be refused.
-async fn begin_patiently(
+async fn begin_with_retry(
     context: &Context,
     group: &Group,
     need: ConnectionNeed<'_>,
     until: Timestamp,
-) -> Result<Begun, NotRun> {
+) -> Result<LeaderTransaction, NotRun> {
     loop {
-        let begun = begin_on_lead(context, group, need, &AllowedRegions::ANYWHERE, until).await;
-        match begun {
-            Err(NotRun::Barred(Bar::Cold(pause))) if context.clock.now() + pause < until => {
-                tokio::time::sleep(pause).await;
+        let opened = begin_on_leader(context, group, need, &AllowedRegions::ANYWHERE, until).await;
+        match opened {
+            Err(NotRun::Barred(Bar::Cold(delay))) if context.clock.now() + delay < until => {
+                tokio::time::sleep(delay).await;
             }
-            begun => return begun,
+            opened => return opened,
         }
     }
 }
 
 impl Unit {
-    /// As [`begin_on_lead`], for this unit.
-    pub async fn begin_on_lead(&self, until: Timestamp) -> Result<Begun, NotRun> {
+    /// As [`begin_on_leader`], for this unit.
+    pub async fn begin_on_leader(&self, until: Timestamp) -> Result<LeaderTransaction, NotRun> {
         let (context, group) = (&self.context, &self.group);
         let (need, allowed) = (self.connection_need(), &self.allowed_regions);
-        begin_on_lead(context, group, need, allowed, until).await
+        begin_on_leader(context, group, need, allowed, until).await
     }
 
-    /// As [`take_proof`], for this unit.
-    pub fn takes_proof(
+    /// As [`record_proof`], for this unit.
+    pub fn record_proof(
         &self,
         server: &Server,
         sent_at: Timestamp,
         position: Option<Position>,
     ) -> bool {
-        take_proof(&self.context, &self.group, server, sent_at, position)
+        record_proof(&self.context, &self.group, server, sent_at, position)
     }
 
-    /// As [`take_lead`], for this unit.
-    pub async fn take_lead(&self, until: Timestamp) -> Result<Place, NotRun> {
+    /// As [`acquire_leader`], for this unit.
+    pub async fn acquire_leader(&self, until: Timestamp) -> Result<LeasedConnection, NotRun> {
         let (context, group) = (&self.context, &self.group);
         let (need, allowed) = (self.connection_need(), &self.allowed_regions);
-        take_lead(context, group, need, allowed, until).await
+        acquire_leader(context, group, need, allowed, until).await
     }
 }
--- a/crates/spurpier-pipeline/src/unit/mod.rs
+++ b/crates/spurpier-pipeline/src/unit/mod.rs
@@ -6,13 +6,13 @@
 //! answer outstanding is never used for another session.
 
 mod attempt;
-mod held;
-mod lead;
-mod place;
+mod deadlines;
+mod eligibility;
+mod leader;
+mod open_transactions;
 mod read;
-mod times;
+mod statement;
 mod transaction;
-mod work;
 mod write;
 
 use std::fmt::Display;
@@ -25,12 +25,12 @@
 use spurpier_core::position::Position;
 use spurpier_events::{Event, log_event};
 
-pub use self::attempt::{Place, own_attempt};
-pub use self::held::OpenTransactions;
-pub use self::lead::renew_proof;
-pub use self::times::Times;
+pub use self::attempt::{LeasedConnection, internal_attempt};
+pub use self::deadlines::Deadlines;
+pub use self::leader::renew_proof;
+pub use self::open_transactions::OpenTransactions;
+pub use self::statement::{ClientStatement, PreparedExecution};
 pub use self::transaction::OpenTransaction;
-pub use self::work::{PreparedUse, Work};
 
 use crate::context::Context;
 use crate::events;
@@ -60,7 +60,7 @@
     /// The session's last commit in this group.
     pub own_commit: Option<SessionCommit>,
     /// Its limits in time.
-    pub times: Times,
+    pub deadlines: Deadlines,
     /// The version of the configuration that has the route.
     pub configuration: u64,
 }
@@ -69,7 +69,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NotRun {
     /// No server leads the group, as far as is known.
-    NoLead,
+    NoLeader,
     /// All connections are in use.
     NoConnection,
     /// The server has too much work.
@@ -94,7 +94,7 @@
 impl NotRun {
     const fn text(self) -> &'static str {
         match self {
-            NotRun::NoLead => "no_lead",
+            NotRun::NoLeader => "no_lead",
             NotRun::NoConnection => "no_connection",
             NotRun::ServerBusy => "server_busy",
             NotRun::NoFreshServer => "no_fresh_server",
@@ -110,9 +110,9 @@
     /// When a client should come back, in milliseconds.
     fn retry_after_ms(self) -> u32 {
         match self {
-            NotRun::OverQuota(pause) | NotRun::NoAuthority(pause) => millis(pause),
+            NotRun::OverQuota(delay) | NotRun::NoAuthority(delay) => millis(delay),
             NotRun::Barred(bar) => millis(bar.retry_after()),
-            NotRun::NoLead | NotRun::NoServer | NotRun::NoHome | NotRun::Rerouted => 300,
+            NotRun::NoLeader | NotRun::NoServer | NotRun::NoHome | NotRun::Rerouted => 300,
             NotRun::NoFreshServer => 200,
             NotRun::NoConnection | NotRun::ServerBusy => 100,
         }
@@ -128,32 +128,32 @@
 impl From<Refused> for NotRun {
     fn from(refused: Refused) -> Self {
         match refused {
-            Refused::OverQuota(pause) => NotRun::OverQuota(pause),
-            Refused::NoAuthority(pause) => NotRun::NoAuthority(pause),
+            Refused::OverQuota(delay) => NotRun::OverQuota(delay),
+            Refused::NoAuthority(delay) => NotRun::NoAuthority(delay),
         }
     }
 }
 
 /// A unit's answer and what it means for the session.
 #[derive(Debug)]
-pub struct Done {
+pub struct UnitResult {
     /// The answer.
     pub answer: Answer,
     /// The position of a commit that the answer acknowledges.
     pub committed: Option<Position>,
 }
 
-impl Done {
+impl UnitResult {
     /// An answer that acknowledges no commit.
     pub fn answer(answer: Answer) -> Self {
         let committed = None;
-        Done { answer, committed }
+        UnitResult { answer, committed }
     }
 
     /// What another node has replied.
-    pub fn of_call(answer: CalledAnswer) -> Self {
+    pub fn from_forwarded(answer: CalledAnswer) -> Self {
         let (answer, committed) = answer.into_parts();
-        Done { answer, committed }
+        UnitResult { answer, committed }
     }
 }
 
@@ -163,33 +163,33 @@
     }
 
     /// Whether only the lead can run such a statement.
-    pub fn needs_lead(&self, effect: Effect) -> bool {
+    pub fn needs_leader(&self, effect: Effect) -> bool {
         effect == Effect::Write || self.is_latest()
     }
 
     /// The zone of the server that leads the group, as far as is known.
-    pub fn lead_zone(&self) -> Option<String> {
+    pub fn leader_zone(&self) -> Option<String> {
         let context = &self.context;
-        let lead = self
+        let leader = self
             .group
             .lead_candidate(context.clock.now(), context.leaving_use())?;
-        let zone = lead.listing().entry.zone.clone();
+        let zone = leader.listing().entry.zone.clone();
         Some(zone)
     }
 
     /// The home that runs such a statement in the place of this one: one that is known to reach
     /// the lead if this one does not, or while units wait here for connections to the server that
     /// would run it, one in that server's zone or nearby.
-    pub fn better_home(&self, effect: Effect) -> Option<PeerNode> {
-        if self.needs_lead(effect)
+    pub fn preferred_home(&self, effect: Effect) -> Option<PeerNode> {
+        if self.needs_leader(effect)
             && let Some(relay) = self.group.relay(self.context.clock.now())
-            && self.may_go_to(&relay)
+            && self.may_run_on(&relay)
         {
             return Some(relay);
         }
         let homes = self.context.homes_of(&self.group.name);
         let is_usable =
-            |home: &&PeerNode| self.context.links.is_usable(home.address) && self.may_go_to(home);
+            |home: &&PeerNode| self.context.links.is_usable(home.address) && self.may_run_on(home);
         if !self.context.holds_lease(&self.group) {
             // What needs the lead, or a proof of it, cannot be done here.
             return homes.others.iter().find(is_usable).cloned();
@@ -221,7 +221,7 @@
         if !servers.iter().any(|server| server.pool.is_crowded()) {
             return None;
         }
-        let server = if self.needs_lead(effect) {
+        let server = if self.needs_leader(effect) {
             self.group.lead()
         } else {
             self.likely_reader(&servers)
@@ -230,10 +230,10 @@
     }
 
     /// Runs a statement outside a transaction on this node's connections.
-    pub async fn run_here(&self, work: &Work, effect: Effect) -> Done {
+    pub async fn run_locally(&self, statement: &ClientStatement, effect: Effect) -> UnitResult {
         match effect {
-            Effect::Read => self.read(work).await,
-            Effect::Write => self.write(work).await,
+            Effect::Read => self.read(statement).await,
+            Effect::Write => self.write(statement).await,
         }
     }
 
@@ -290,7 +290,7 @@
     }
 
     /// The answer of a statement of which cannot be told whether it ran.
-    pub fn doubt(&self, id: &str, class: ErrorClass, server: impl Display) -> Answer {
+    pub fn unknown_outcome(&self, id: &str, class: ErrorClass, server: impl Display) -> Answer {
         if let Some(suppressed) = self.log_budget(events::REQUEST_UNKNOWN) {
             log_event!(
                 events::REQUEST_UNKNOWN,
@@ -323,7 +323,7 @@
     }
 
     /// Notes that a statement is tried again.
-    pub fn note_retry(&self, id: &str, server: impl Display, why: &'static str) {
+    pub fn record_retry(&self, id: &str, server: impl Display, why: &'static str) {
         self.context.metrics.count_retry(why);
         if let Some(suppressed) = self.log_budget(events::REQUEST_RETRIED) {
             log_event!(
@@ -346,6 +346,6 @@
 
     fn waited_ms(&self) -> u128 {
         let now = self.context.clock.now();
-        self.times.waited(now).as_millis()
+        self.deadlines.waited(now).as_millis()
     }
 }
--- a/crates/spurpier-pipeline/src/unit/read.rs
+++ b/crates/spurpier-pipeline/src/unit/read.rs
@@ -8,98 +8,110 @@
 use spurpier_core::position::Position;
 use spurpier_core::time::Timestamp;
 
-use super::attempt::{Answered, Failure, Manner, Place};
-use super::lead::renew_proof;
-use super::work::Work;
-use super::{Done, NotRun, Unit};
+use super::attempt::{ExchangeMode, Failure, LeasedConnection, TimedAnswer};
+use super::leader::renew_proof;
+use super::statement::ClientStatement;
+use super::{NotRun, Unit, UnitResult};
 use crate::places::Bar;
 use crate::ports::{Answer, ErrorClass, TransactionState};
 use crate::server::{AcquireError, OpenError, Server};
 
 /// Servers that one read tries.
-const ATTEMPTS: usize = 4;
+const MAX_ATTEMPTS: usize = 4;
 /// A proof older than this share of the allowed staleness is renewed ahead of need.
-const RENEW_AHEAD: u32 = 2;
+const EARLY_RENEWAL_DIVISOR: u32 = 2;
 /// Until when a server of an evacuated zone is tried only after all others.
-const NO_END: Timestamp = Timestamp::from_micros(u64::MAX);
+const FAR_FUTURE: Timestamp = Timestamp::from_micros(u64::MAX);
 
 impl Unit {
     /// Runs a read.
-    pub async fn read(&self, work: &Work) -> Done {
+    pub async fn read(&self, statement: &ClientStatement) -> UnitResult {
         self.context.note_first_attempt();
         let answer = if self.is_latest() {
-            self.read_latest(work).await
+            self.read_latest(statement).await
         } else {
-            self.read_fresh(work).await
+            self.read_fresh(statement).await
         };
-        Done::answer(answer)
+        UnitResult::answer(answer)
     }
 
     /// Runs a read in a transaction that only the lead accepts.
-    async fn read_latest(&self, work: &Work) -> Answer {
-        let mut refused = NotRun::NoLead;
-        for _ in 0..ATTEMPTS {
-            let begun = match self.begin_on_lead(self.times.wait_until).await {
-                Ok(begun) => begun,
-                Err(reason) => return self.refuse(&work.id, reason),
+    async fn read_latest(&self, statement: &ClientStatement) -> Answer {
+        let mut refused = NotRun::NoLeader;
+        for _ in 0..MAX_ATTEMPTS {
+            let opened = match self.begin_on_leader(self.deadlines.wait_until).await {
+                Ok(opened) => opened,
+                Err(reason) => return self.refuse(&statement.id, reason),
             };
-            let server = Arc::clone(&begun.place.server);
-            let until = self.attempt_end();
-            let manner = Manner::ThenRollBack;
-            let (_, result) = self.attempt(begun.place, work, manner, until).await;
-            match self.judge_read(work, &server, result) {
+            let server = Arc::clone(&opened.leased.server);
+            let until = self.attempt_deadline();
+            let mode = ExchangeMode::StatementAndRollback;
+            let (_, result) = self.attempt(opened.leased, statement, mode, until).await;
+            match self.classify_read(statement, &server, result) {
                 Ok(answer) => return outside_transaction(answer),
                 Err(reason) => refused = reason,
             }
-            if self.context.clock.now() >= self.times.give_up {
-                return self.doubt(&work.id, ErrorClass::Timeout, &server.incarnation);
+            if self.context.clock.now() >= self.deadlines.run_until {
+                return self.unknown_outcome(
+                    &statement.id,
+                    ErrorClass::Timeout,
+                    &server.incarnation,
+                );
             }
             if !self.context.may_retry() {
                 break;
             }
         }
-        self.refuse(&work.id, refused)
+        self.refuse(&statement.id, refused)
     }
 
     /// Runs a read behind the position that its freshness asks for, on the best server.
-    async fn read_fresh(&self, work: &Work) -> Answer {
+    async fn read_fresh(&self, statement: &ClientStatement) -> Answer {
         let mut floor = match self.floor().await {
             Ok(floor) => floor,
-            Err(reason) => return self.refuse(&work.id, reason),
+            Err(reason) => return self.refuse(&statement.id, reason),
         };
         loop {
-            match self.read_behind(work, &mut floor).await {
+            match self.read_at_or_after(statement, &mut floor).await {
                 Ok(answer) => return answer,
-                Err(NotRun::NoFreshServer) if self.await_replica().await => {}
-                Err(reason) => return self.refuse(&work.id, reason),
+                Err(NotRun::NoFreshServer) if self.wait_for_replica().await => {}
+                Err(reason) => return self.refuse(&statement.id, reason),
             }
         }
     }
 
     /// Runs a read behind a position, on each of the best servers at most once; gives an answer to
     /// pass on, or why it has not run.
-    async fn read_behind(&self, work: &Work, floor: &mut Position) -> Result<Answer, NotRun> {
+    async fn read_at_or_after(
+        &self,
+        statement: &ClientStatement,
+        floor: &mut Position,
+    ) -> Result<Answer, NotRun> {
         let mut tried = Vec::new();
-        let mut refused = self.no_reader();
-        for _ in 0..ATTEMPTS {
-            let Some(place) = self.next_reader(*floor, &mut tried, &mut refused).await else {
+        let mut refused = self.no_reader_reason();
+        for _ in 0..MAX_ATTEMPTS {
+            let Some(leased) = self.next_reader(*floor, &mut tried, &mut refused).await else {
                 break;
             };
-            let server = Arc::clone(&place.server);
-            let until = self.attempt_end();
-            let manner = Manner::Alone(after(*floor));
-            let (_, result) = self.attempt(place, work, manner, until).await;
-            match self.judge_read(work, &server, result) {
+            let server = Arc::clone(&leased.server);
+            let until = self.attempt_deadline();
+            let mode = ExchangeMode::Statement(after(*floor));
+            let (_, result) = self.attempt(leased, statement, mode, until).await;
+            match self.classify_read(statement, &server, result) {
                 Ok(answer) => return Ok(answer),
                 Err(reason) => refused = reason,
             }
-            if self.context.clock.now() >= self.times.give_up {
-                return Ok(self.doubt(&work.id, ErrorClass::Timeout, &server.incarnation));
+            if self.context.clock.now() >= self.deadlines.run_until {
+                return Ok(self.unknown_outcome(
+                    &statement.id,
+                    ErrorClass::Timeout,
+                    &server.incarnation,
+                ));
             }
             if is_failure(refused) && !self.context.may_retry() {
                 break;
             }
-            if refused == NotRun::NoFreshServer && self.is_lead(&server) {
+            if refused == NotRun::NoFreshServer && self.is_leader(&server) {
                 // The lead itself lacks the position: it was dropped when the lead changed.
                 *floor = self.newest_floor().await?;
                 tried.clear();
@@ -109,14 +121,14 @@
     }
 
     /// An answer to pass on, or why another server is to be tried.
-    fn judge_read(
+    fn classify_read(
         &self,
-        work: &Work,
+        statement: &ClientStatement,
         server: &Server,
-        result: Result<Answered, Failure>,
+        result: Result<TimedAnswer, Failure>,
     ) -> Result<Answer, NotRun> {
         let (class, why) = match result {
-            Ok(Answered { answer, .. }) => match answer.error_class() {
+            Ok(TimedAnswer { answer, .. }) => match answer.error_class() {
                 Some(class) if class.is_not_run() => (class, "refused"),
                 _ => return Ok(answer),
             },
@@ -126,44 +138,44 @@
             Err(Failure::Silent) => (ErrorClass::Other, "silent"),
         };
         if class != ErrorClass::Lagging {
-            self.note_retry(&work.id, &server.incarnation, why);
+            self.record_retry(&statement.id, &server.incarnation, why);
         }
-        Err(self.note_refusal(server, class))
+        Err(self.record_refusal(server, class))
     }
 
     /// Until when the present attempt may last: a part of what is left, so that another can
     /// follow.
-    fn attempt_end(&self) -> Timestamp {
+    fn attempt_deadline(&self) -> Timestamp {
         let now = self.context.clock.now();
-        let left = self.times.give_up.since(now);
+        let left = self.deadlines.run_until.since(now);
         if left < Duration::from_millis(150) {
-            return self.times.give_up;
+            return self.deadlines.run_until;
         }
         now + left * 6 / 10
     }
 
-    fn is_lead(&self, server: &Server) -> bool {
-        let lead = self.group.lead();
-        lead.is_some_and(|lead| lead.incarnation == server.incarnation)
+    fn is_leader(&self, server: &Server) -> bool {
+        let leader = self.group.lead();
+        leader.is_some_and(|leader| leader.incarnation == server.incarnation)
     }
 
     /// The position that the unit's reads must find.
     pub(super) async fn floor(&self) -> Result<Position, NotRun> {
         let staleness = self.route.freshness.staleness();
-        let since = self.times.arrived.saturating_sub(staleness);
+        let since = self.deadlines.arrived.saturating_sub(staleness);
         loop {
             if let Some(floor) = self.group.read_floor(since, self.own_commit) {
-                self.renew_ahead(staleness);
+                self.renew_proof_early(staleness);
                 return Ok(floor);
             }
-            renew_proof(&self.context, &self.group, since, self.times.wait_until).await?;
+            renew_proof(&self.context, &self.group, since, self.deadlines.wait_until).await?;
         }
     }
 
     /// The server that a read would go to first, by what is known now.
     pub(super) fn likely_reader(&self, servers: &[Arc<Server>]) -> Option<Arc<Server>> {
         let staleness = self.route.freshness.staleness();
-        let since = self.times.arrived.saturating_sub(staleness);
+        let since = self.deadlines.arrived.saturating_sub(staleness);
         let floor = self.group.read_floor(since, self.own_commit);
         let chosen = self.choose_reader(servers, &[], floor.unwrap_or(Position::ZERO));
         chosen.map(|index| Arc::clone(&servers[index]))
@@ -175,18 +187,18 @@
         excluded: &[usize],
         floor: Position,
     ) -> Option<usize> {
-        let lead = self.group.lead().map(|lead| lead.incarnation.clone());
-        let leads = |server: &Server| lead.as_ref() == Some(&server.incarnation);
+        let leader = self.group.lead().map(|leader| leader.incarnation.clone());
+        let is_leader = |server: &Server| leader.as_ref() == Some(&server.incarnation);
         let now = self.context.clock.now();
         let choose = |is_usable: &dyn Fn(&Server) -> bool| {
             let loads: Vec<_> = servers
                 .iter()
                 .map(|server| {
-                    let load = server.load(leads(server));
+                    let load = server.load(is_leader(server));
                     ServerLoad {
                         accepts_reads: load.accepts_reads && is_usable(server),
                         avoided_until: if server.is_evacuated() {
-                            NO_END
+                            FAR_FUTURE
                         } else {
                             load.avoided_until
                         },
@@ -215,7 +227,7 @@
     }
 
     /// Why no server can be tried at all: what bars those that stay, if that is so of each.
-    pub(super) fn no_reader(&self) -> NotRun {
+    pub(super) fn no_reader_reason(&self) -> NotRun {
         self.bar_at_servers()
             .map_or(NotRun::NoServer, NotRun::Barred)
     }
@@ -223,15 +235,15 @@
     /// The position of a proof that covers all that was acknowledged before now.
     async fn newest_floor(&self) -> Result<Position, NotRun> {
         let since = self.context.clock.now();
-        renew_proof(&self.context, &self.group, since, self.times.wait_until).await?;
+        renew_proof(&self.context, &self.group, since, self.deadlines.wait_until).await?;
         let floor = self.group.read_floor(since, self.own_commit);
         floor.ok_or(NotRun::NoFreshServer)
     }
 
     /// Has the proof renewed before it is too old, so that reads need not wait for it.
-    fn renew_ahead(&self, staleness: Duration) {
+    fn renew_proof_early(&self, staleness: Duration) {
         let now = self.context.clock.now();
-        let renew_at = staleness / RENEW_AHEAD;
+        let renew_at = staleness / EARLY_RENEWAL_DIVISOR;
         let is_young = self
             .group
             .proven_at()
@@ -241,7 +253,7 @@
         }
         let (context, group) = (Arc::clone(&self.context), Arc::clone(&self.group));
         tokio::spawn(async move {
-            let until = now + staleness / RENEW_AHEAD;
+            let until = now + staleness / EARLY_RENEWAL_DIVISOR;
             // If it fails, the read that needs the proof asks again.
             let _ = renew_proof(&context, &group, now, until).await;
         });
@@ -254,21 +266,21 @@
         floor: Position,
         tried: &mut Vec<Incarnation>,
         refused: &mut NotRun,
-    ) -> Option<Place> {
+    ) -> Option<LeasedConnection> {
         loop {
-            match self.take_reader(floor, tried).await {
-                Ok(place) => return place,
+            match self.acquire_reader(floor, tried).await {
+                Ok(leased) => return leased,
                 Err(reason) => *refused = reason,
             }
         }
     }
 
     /// Takes a connection to the best server that has not been tried; none if all have been.
-    async fn take_reader(
+    async fn acquire_reader(
         &self,
         floor: Position,
         tried: &mut Vec<Incarnation>,
-    ) -> Result<Option<Place>, NotRun> {
+    ) -> Result<Option<LeasedConnection>, NotRun> {
         let clock = &self.context.clock;
         let servers = self.group.servers();
         let excluded: Vec<usize> = (0..servers.len())
@@ -279,15 +291,15 @@
         };
         let server = Arc::clone(&servers[chosen]);
         tried.push(server.incarnation.clone());
-        let until = self.times.wait_until;
+        let until = self.deadlines.wait_until;
         match server.pool.acquire(self.connection_need(), until).await {
-            Ok(lease) => Ok(Some(Place::new(server, lease))),
+            Ok(lease) => Ok(Some(LeasedConnection::new(server, lease))),
             Err(AcquireError::Full) => {
                 server.health().avoid(clock.now());
                 Err(NotRun::NoConnection)
             }
             Err(AcquireError::Open(OpenError::Refused(class))) => {
-                Err(self.note_refusal(&server, class))
+                Err(self.record_refusal(&server, class))
             }
             Err(AcquireError::Open(OpenError::Closed)) => Err(NotRun::Barred(Bar::Evacuated)),
             Err(AcquireError::Open(OpenError::Cold(no_leave))) => Err(no_leave.into()),
--- a/crates/spurpier-pipeline/src/unit/work.rs
+++ b/crates/spurpier-pipeline/src/unit/statement.rs
@@ -6,7 +6,7 @@
 
 /// A prepared statement as a unit uses it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct PreparedUse {
+pub struct PreparedExecution {
     /// What executing it does.
     pub effect: Effect,
     /// Its shape.
@@ -15,7 +15,7 @@
     pub arguments: String,
 }
 
-impl PreparedUse {
+impl PreparedExecution {
     /// The name on server connections: the same for all sessions that prepare the same shape.
     pub fn server_name(&self) -> String {
         let prefix = match self.effect {
@@ -28,20 +28,20 @@
 
 /// A client's statement.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Work {
+pub struct ClientStatement {
     /// The client's name for it.
     pub id: String,
     /// Its text, as given.
     pub text: String,
     /// Set if it executes a prepared statement.
-    pub prepared: Option<PreparedUse>,
+    pub prepared: Option<PreparedExecution>,
     server_name: String,
 }
 
-impl Work {
+impl ClientStatement {
     /// A statement that is sent as given.
     pub fn plain(id: String, text: String) -> Self {
-        Work {
+        ClientStatement {
             id,
             text,
             prepared: None,
@@ -50,8 +50,8 @@
     }
 
     /// An execution of a prepared statement.
-    pub fn execution(id: String, text: String, prepared: PreparedUse) -> Self {
-        Work {
+    pub fn execution(id: String, text: String, prepared: PreparedExecution) -> Self {
+        ClientStatement {
             id,
             text,
             server_name: prepared.server_name(),
--- a/crates/spurpier-pipeline/src/unit/write.rs
+++ b/crates/spurpier-pipeline/src/unit/write.rs
@@ -2,71 +2,85 @@
 
 use std::sync::Arc;
 
-use super::attempt::{Answered, Failure, Manner};
-use super::work::Work;
-use super::{Done, NotRun, Unit};
+use super::attempt::{ExchangeMode, Failure, TimedAnswer};
+use super::statement::ClientStatement;
+use super::{NotRun, Unit, UnitResult};
 use crate::ports::ErrorClass;
 use crate::server::Server;
 
 /// Attempts after which a refusing lead's answer is passed on.
-const ATTEMPTS: usize = 3;
+const MAX_ATTEMPTS: usize = 3;
 
 impl Unit {
     /// Runs a write on the lead.
-    pub async fn write(&self, work: &Work) -> Done {
+    pub async fn write(&self, statement: &ClientStatement) -> UnitResult {
         self.context.note_first_attempt();
-        let mut refused = NotRun::NoLead;
-        for _ in 0..ATTEMPTS {
-            let place = match self.take_lead(self.times.wait_until).await {
-                Ok(place) => place,
-                Err(reason) => return Done::answer(self.refuse(&work.id, reason)),
+        let mut refused = NotRun::NoLeader;
+        for _ in 0..MAX_ATTEMPTS {
+            let leased = match self.acquire_leader(self.deadlines.wait_until).await {
+                Ok(leased) => leased,
+                Err(reason) => return UnitResult::answer(self.refuse(&statement.id, reason)),
             };
-            let server = Arc::clone(&place.server);
-            let manner = Manner::Alone(None);
-            let (_, result) = self.attempt(place, work, manner, self.times.give_up).await;
+            let server = Arc::clone(&leased.server);
+            let mode = ExchangeMode::Statement(None);
+            let (_, result) = self
+                .attempt(leased, statement, mode, self.deadlines.run_until)
+                .await;
             let class = match result {
-                Ok(Answered { answer, sent_at }) => match answer.error_class() {
+                Ok(TimedAnswer { answer, sent_at }) => match answer.error_class() {
                     None if !self.context.may_lead(&self.group, &server) => {
-                        let doubt = self.doubt(&work.id, ErrorClass::InDoubt, &server.incarnation);
-                        return Done::answer(doubt);
+                        let unknown_outcome = self.unknown_outcome(
+                            &statement.id,
+                            ErrorClass::InDoubt,
+                            &server.incarnation,
+                        );
+                        return UnitResult::answer(unknown_outcome);
                     }
-                    None if !self.takes_proof(&server, sent_at, answer.position) => {
-                        let doubt = self.doubt(&work.id, ErrorClass::InDoubt, &server.incarnation);
-                        return Done::answer(doubt);
+                    None if !self.record_proof(&server, sent_at, answer.position) => {
+                        let unknown_outcome = self.unknown_outcome(
+                            &statement.id,
+                            ErrorClass::InDoubt,
+                            &server.incarnation,
+                        );
+                        return UnitResult::answer(unknown_outcome);
                     }
                     None => {
                         let committed = answer.position;
-                        return Done { answer, committed };
+                        return UnitResult { answer, committed };
                     }
                     Some(class) if class.is_not_run() => class,
-                    Some(_) => return Done::answer(answer),
+                    Some(_) => return UnitResult::answer(answer),
                 },
                 Err(Failure::Cold(no_leave)) => {
-                    return Done::answer(self.refuse(&work.id, no_leave.into()));
+                    return UnitResult::answer(self.refuse(&statement.id, no_leave.into()));
                 }
                 Err(Failure::Refused(class)) => class,
                 Err(Failure::NotSent) => ErrorClass::Misrouted,
                 Err(Failure::Broken | Failure::Silent) => {
-                    let doubt = self.doubt(&work.id, ErrorClass::InDoubt, &server.incarnation);
-                    return Done::answer(doubt);
+                    let unknown_outcome = self.unknown_outcome(
+                        &statement.id,
+                        ErrorClass::InDoubt,
+                        &server.incarnation,
+                    );
+                    return UnitResult::answer(unknown_outcome);
                 }
             };
-            refused = self.note_refusal(&server, class);
-            if self.context.clock.now() >= self.times.wait_until || !self.context.may_retry() {
+            refused = self.record_refusal(&server, class);
+            if self.context.clock.now() >= self.deadlines.wait_until || !self.context.may_retry() {
                 break;
             }
-            self.note_retry(&work.id, &server.incarnation, "refused");
+            self.record_retry(&statement.id, &server.incarnation, "refused");
         }
-        Done::answer(self.refuse(&work.id, refused))
+        UnitResult::answer(self.refuse(&statement.id, refused))
     }
 
     /// Takes in a server's promise that a statement did not run there.
-    pub(super) fn note_refusal(&self, server: &Server, class: ErrorClass) -> NotRun {
+    pub(super) fn record_refusal(&self, server: &Server, class: ErrorClass) -> NotRun {
         let now = self.context.clock.now();
         match class {
             ErrorClass::ReadOnly => {
                 self.group.note_denial(server, now);
-                NotRun::NoLead
+                NotRun::NoLeader
             }
             ErrorClass::Busy | ErrorClass::TooManyConnections => {
                 server.health().avoid(now);
