--- a/crates/spurpier-pipeline/src/tenant/mod.rs
+++ b/crates/spurpier-pipeline/src/tenant/mod.rs
@@ -1,44 +1,44 @@
-//! Whom a unit is run for.
+//! Identification of the client for which a unit of work runs.
 
 use std::sync::Arc;
 
 use crate::ports::{ErrorClass, KeyDigest, ServerError};
 
-/// What servers are told where clients are not told apart, and for the proxy's own statements.
+/// The caller name sent to servers for clients without a tenant and for the proxy's own statements.
 pub const UNNAMED_CALLER: &str = "spurpier";
 
-/// Whom a unit is run for: the tenant that holds the client's key.
+/// The client for which a unit runs, identified by the tenant that owns its key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Caller {
-    /// The tenant's name; none where clients are not told apart.
+    /// The tenant's name, or `None` if the configuration does not distinguish clients.
     pub tenant: Option<Arc<str>>,
-    /// The digest of the client's key; none if it names none.
+    /// The digest of the client's key, or `None` if the client presented no key.
     pub key: Option<KeyDigest>,
 }
 
 impl Caller {
-    /// A client that is not told apart from others.
+    /// Creates a caller that belongs to no tenant.
     pub fn unnamed(key: Option<KeyDigest>) -> Self {
         Caller { tenant: None, key }
     }
 
-    /// What servers are told.
+    /// Returns the caller name to send to servers.
     pub fn name(&self) -> &str {
         self.tenant.as_deref().unwrap_or(UNNAMED_CALLER)
     }
 }
 
-/// Why a client is not served.
+/// The reason why a client is not admitted to a database.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmissionError {
-    /// There is no such database.
+    /// No route exists for the requested database.
     UnknownDatabase,
-    /// No tenant holds its key.
+    /// No tenant owns the client's key.
     UnknownKey,
 }
 
 impl AdmissionError {
-    /// What the client is told.
+    /// Returns the error to send to the client.
     pub fn error(self) -> ServerError {
         let (class, text) = match self {
             AdmissionError::UnknownDatabase => (ErrorClass::UnknownDatabase, "no such database"),
--- a/crates/spurpier-pipeline/src/unit/attempt.rs
+++ b/crates/spurpier-pipeline/src/unit/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a statement on one server.
+//! A single attempt to execute a statement on one server.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -14,21 +14,21 @@
 use crate::ports::{Answer, ErrorClass, ServerRequest};
 use crate::server::{ExchangeError, Lease, Server, ServerConnection, Values};
 
-/// How long an exchange that nobody awaits may go on before its connection is closed.
+/// How long an exchange may continue after its unit timed out before its connection is closed.
 const DETACHED_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How an attempt ended without an answer for the client.
+/// The reason why an attempt produced no answer for the client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// The server refused; the statement has not run.
+    /// The server refused the request; the statement has not run.
     Refused(ErrorClass),
     /// The statement was not sent.
     NotSent,
     /// The connection broke; the statement may have run.
     Broken,
-    /// No answer came in time; the statement may have run or may run yet.
+    /// No answer arrived in time; the statement may have run or may still run.
     Silent,
-    /// The server is cold, and no leave was given; nothing was sent.
+    /// The server is cold and no permit was granted; nothing was sent.
     Cold(NoLeave),
 }
 
@@ -42,12 +42,12 @@
     }
 }
 
-/// Counts a request on a server while it lives.
+/// Guard that counts a request as in flight on a server until it is dropped.
 #[derive(Debug)]
 pub struct InFlight(Arc<Server>);
 
 impl InFlight {
-    /// Counts one more.
+    /// Increments the server's number of requests in flight.
     pub fn new(server: &Arc<Server>) -> Self {
         server.health().in_flight += 1;
         InFlight(Arc::clone(server))
@@ -60,18 +60,18 @@
     }
 }
 
-/// A connection to a server, taken for a unit.
+/// A connection that is leased from a server's pool and counted as one request in flight.
 #[derive(Debug)]
 pub struct LeasedConnection {
-    /// The server.
+    /// The server to which the connection belongs.
     pub server: Arc<Server>,
-    /// The connection.
+    /// The pool's lease of the connection.
     pub lease: Lease,
     _in_flight: InFlight,
 }
 
 impl LeasedConnection {
-    /// Takes a leased connection.
+    /// Wraps a pool lease and counts it as a request in flight on `server`.
     pub fn new(server: Arc<Server>, lease: Lease) -> Self {
         let in_flight = InFlight::new(&server);
         LeasedConnection {
@@ -81,34 +81,39 @@
         }
     }
 
-    /// The connection.
+    /// Returns the connection.
+    ///
+    /// # Errors
+    ///
+    /// [`Failure::NotSent`] if the lease no longer has a connection.
     pub fn connection(&mut self) -> Result<&mut ServerConnection, Failure> {
         self.lease.connection().ok_or(Failure::NotSent)
     }
 }
 
-/// What is asked of a server once its connection knows the session.
+/// Which messages an attempt sends once the connection has the session's state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExchangeMode {
-    /// The statement alone, behind a position if one is given.
+    /// The statement alone. If a position is given, the server must have applied it.
     Statement(Option<Position>),
-    /// The statement, and right behind it the drop of the transaction that it stands in.
+    /// The statement, directly followed by a rollback of its transaction.
     StatementAndRollback,
 }
 
-/// An answer, and when the statement left.
+/// An answer and the time at which its statement was sent.
 pub struct TimedAnswer {
-    /// The answer.
+    /// The server's answer.
     pub answer: Answer,
-    /// When the statement left.
+    /// When the statement was sent.
     pub sent_at: Timestamp,
 }
 
 impl Unit {
-    /// Runs a statement on a connection, at most until `until`.
+    /// Runs a statement on a connection and waits for its answer until `until`.
     ///
-    /// If no answer comes in time, the exchange goes on without the unit, so that a server at
-    /// work is not cut off and its connection can be used again.
+    /// Returns the connection if it can be used further. If no answer arrives in time, the
+    /// exchange continues in the background: the server's work is not interrupted, and the
+    /// connection can be reused afterwards.
     pub async fn attempt(
         &self,
         mut leased: LeasedConnection,
@@ -134,7 +139,7 @@
                     self.group.note_shown(&server, position, now);
                 }
                 if answered.answer.outcome.is_ok() {
-                    // A refusal is fast and says nothing of the server's work.
+                    // Refusals are fast and would distort the server's response times.
                     server.health().note_time(now.since(started));
                 }
                 (Some(leased), Ok(answered))
@@ -178,7 +183,8 @@
     Ok(TimedAnswer { answer, sent_at })
 }
 
-/// Gives the connection the session's values and the prepared statement that the work uses.
+/// Sets the session's values on the connection and prepares the statement's prepared statement,
+/// unless the connection already has them.
 pub async fn prepare_connection(
     connection: &mut ServerConnection,
     values: &Values,
@@ -224,13 +230,13 @@
     Ok(())
 }
 
-/// Runs a statement of the proxy's own that must succeed.
+/// Sends one of the proxy's own requests and fails unless the server accepts it.
 async fn internal_exchange(
     connection: &mut ServerConnection,
     request: &ServerRequest<'_>,
 ) -> Result<(), Failure> {
     let answer = connection.exchange(request).await;
-    // Nothing of the client's has been sent yet.
+    // The client's statement has not been sent yet, so a broken connection is not ambiguous.
     let answer = answer.map_err(|error| match error {
         ExchangeError::Cold(no_leave) => Failure::Cold(no_leave),
         ExchangeError::NotSent | ExchangeError::Unclear => Failure::NotSent,
@@ -241,7 +247,8 @@
     }
 }
 
-/// Awaits an exchange until a moment; then it goes on alone for a while. None if it does.
+/// Waits for an exchange until `until`. Returns `None` if it is not done by then and continues in
+/// the background for at most [`DETACHED_TIMEOUT`].
 async fn await_or_detach<T: Send + 'static>(
     clock: &Clock,
     until: Timestamp,
@@ -256,7 +263,10 @@
     None
 }
 
-/// Runs a statement of the proxy's own on a taken connection, at most until `until`.
+/// Sends one of the proxy's own requests on a leased connection and waits for its answer until
+/// `until`.
+///
+/// Returns the connection if it can be used further.
 pub async fn internal_attempt(
     clock: &Clock,
     mut leased: LeasedConnection,
--- a/crates/spurpier-pipeline/src/unit/eligibility.rs
+++ b/crates/spurpier-pipeline/src/unit/eligibility.rs
@@ -1,4 +1,4 @@
-//! Where a unit may go: which nodes may be given it, and whether any server may run it.
+//! Which nodes and servers may run a unit, by its allowed regions and the state of the zones.
 
 use std::time::Duration;
 
@@ -7,18 +7,18 @@
 use crate::places::Bar;
 use crate::ports::Effect;
 
-/// How long a replica is given to receive more before a read asks it again.
+/// How long a read waits for replicas to catch up before it tries them again.
 const REPLICA_CATCH_UP_DELAY: Duration = Duration::from_millis(20);
 
 impl Unit {
-    /// Whether another node may be given the unit.
+    /// Whether the unit may be forwarded to another node.
     pub fn may_run_on(&self, peer: &PeerNode) -> bool {
         let places = &self.context.places;
         places.allows(&self.allowed_regions, &peer.zone)
     }
 
-    /// The zone near which homes are asked first for what need not run on the lead: this node's
-    /// own, or the nearest one with a home where the unit may run.
+    /// Returns the zone whose nearby homes are tried first for units that need not run on the
+    /// leader: this node's own zone, or else the zone of the nearest home that may run the unit.
     pub fn nearest_zone(&self, homes: &ChosenNodes) -> String {
         let own = &self.context.settings.node.zone;
         let places = &self.context.places;
@@ -29,8 +29,8 @@
         nearest.map_or_else(|| own.clone(), |home| home.zone.clone())
     }
 
-    /// Counts what a client asks of the group's primary, served or not: where much of it may not run
-    /// where the primary stands, that is moved.
+    /// Counts a client's demand for the group's primary, whether or not it is served. The primary
+    /// is moved if much of the demand is not allowed to run in its region.
     pub fn count_demand(&self, effect: Effect) {
         if self.needs_leader(effect) {
             let demand = &self.context.places.demand;
@@ -38,10 +38,10 @@
         }
     }
 
-    /// Why no server may run such a statement, as far as this node knows; none if one may.
+    /// Returns the reason why no known server may run such a statement, or `None` if one may.
     ///
-    /// Asked where the client is connected, so that nothing is held or passed on that nobody may
-    /// run.
+    /// The node to which the client is connected checks this first, so that it neither queues nor
+    /// forwards a statement that no server may run.
     pub fn bar_on_all_servers(&self, effect: Effect) -> Option<Bar> {
         if self.allowed_regions.is_anywhere() {
             return None;
@@ -55,7 +55,7 @@
         self.bar_at_servers()
     }
 
-    /// Why the server that leads, as far as is known, may not run the unit.
+    /// Returns the reason why the presumed leader may not run the unit.
     fn bar_at_leader(&self) -> Option<Bar> {
         let context = &self.context;
         let now = context.clock.now();
@@ -65,7 +65,8 @@
             .bar_to_lead(&self.allowed_regions, &leader, now)
     }
 
-    /// Why none of the servers that stay may run the unit; none if one may, or none is known.
+    /// Returns the reason why no server that is not leaving may run the unit. Returns `None` if one
+    /// may, or if no such server is known.
     pub(super) fn bar_at_servers(&self) -> Option<Bar> {
         let now = self.context.clock.now();
         let servers = self.group.servers();
@@ -76,11 +77,12 @@
         bars?.first().copied()
     }
 
-    /// Gives the replicas time to receive more, if the unit may run on replicas alone; false if it
-    /// may run on the lead as well, or has no time left to wait.
+    /// Waits for replicas to catch up if the unit may run only on replicas. Returns false without
+    /// waiting if the unit may run on the leader too or has no time left to wait.
     ///
-    /// Elsewhere a read that finds all replicas behind goes to the lead. Without the wait, a session
-    /// that has just written is refused by a replica that is some milliseconds behind.
+    /// A read that may run on the leader goes there if all replicas lag. Without this wait, any
+    /// other read of a session that has just written would be refused by replicas that lag by
+    /// some milliseconds.
     pub(super) async fn wait_for_replica(&self) -> bool {
         if self.allowed_regions.is_anywhere() || self.bar_at_leader().is_none() {
             return false;
--- a/crates/spurpier-pipeline/src/unit/leader.rs
+++ b/crates/spurpier-pipeline/src/unit/leader.rs
@@ -1,4 +1,4 @@
-//! Work that only the lead can do: finding it, and having it prove its lead.
+//! Finding a group's leader, and having it prove its leadership.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,23 +18,28 @@
 use crate::ports::{ErrorClass, ServerRequest, TransactionState};
 use crate::server::{AcquireError, ConnectionNeed, OpenError, Server, Values};
 
-/// How long the lead may take to open a transaction before it counts as silent.
+/// How long the leader may take to open a transaction before it counts as unresponsive.
 const BEGIN_TIMEOUT: Duration = Duration::from_millis(500);
-/// How often a unit that waits for a lead looks again.
+/// How often a unit that waits for a leader checks again, even without a change in the group.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(40);
-/// The pause after a server refused a connection or the opening of a transaction.
+/// The delay after a server refused a connection or the opening of a transaction.
 const REFUSAL_DELAY: Duration = Duration::from_millis(20);
 
-/// A transaction that the lead has opened.
+/// A transaction that the leader has opened.
 pub struct LeaderTransaction {
-    /// The connection.
+    /// The connection on which the transaction is open.
     pub leased: LeasedConnection,
-    /// The position that the lead showed.
+    /// The leader's log position when it opened the transaction.
     pub position: Position,
 }
 
-/// Takes a connection to the server that is most likely to lead, at most until `until`; at once
-/// none if that server may not be used in these regions.
+/// Acquires a connection to the server that is most likely to be the leader, and waits for one
+/// until `until`.
+///
+/// # Errors
+///
+/// The reason why there is no connection; [`NotRun::Barred`] without waiting if the unit may not
+/// run on that server.
 pub async fn acquire_leader(
     context: &Context,
     group: &Group,
@@ -67,7 +72,7 @@
                     tokio::time::sleep(REFUSAL_DELAY).await;
                     missing = NotRun::NoConnection;
                 }
-                // The next look finds it barred.
+                // The next iteration returns the reason why the server is barred.
                 Err(AcquireError::Open(OpenError::Closed)) => continue,
                 Err(AcquireError::Open(OpenError::Cold(no_leave))) => return Err(no_leave.into()),
                 Err(AcquireError::Open(_)) => {
@@ -80,15 +85,17 @@
             return Err(missing);
         }
         let recheck = clock.instant(until.min(clock.now() + RECHECK_INTERVAL));
-        // Nothing is lost if the time passes first: the loop looks again.
+        // On a timeout the loop checks again.
         let _ = tokio::time::timeout_at(recheck, changes.changed()).await;
     }
 }
 
-/// Whether a server held all that the lead had shown before, when the connection to it was opened.
+/// Whether the server's log, when the connection was opened, contained everything that the leader
+/// had reported before.
 ///
-/// A primary that has started again without its log would take a write, and give its replicas the
-/// empty log. That is seen before anything is sent, as the connection is a new one.
+/// A primary that has restarted without its log would accept a write and replicate the empty log.
+/// Its restart closes all connections, so checking each new connection detects it before anything
+/// is sent.
 fn has_observed_log(context: &Context, group: &Group, leased: &mut LeasedConnection) -> bool {
     let server = Arc::clone(&leased.server);
     let Ok(connection) = leased.connection() else {
@@ -102,13 +109,18 @@
     false
 }
 
-/// Whether a server is worth asking: not one that has just left several messages unanswered.
+/// Whether to try a server: false if it has just left several messages unanswered.
 fn is_responsive(server: &Server, now: Timestamp) -> bool {
     let health = server.health();
     !health.is_silent() || health.avoided_until <= now
 }
 
-/// Has the lead open a transaction that may write, which proves the lead; at most until `until`.
+/// Opens a read-write transaction on the leader, which proves its leadership, and retries until
+/// `until`.
+///
+/// # Errors
+///
+/// The reason why no leader has opened a transaction.
 pub async fn begin_on_leader(
     context: &Context,
     group: &Group,
@@ -142,7 +154,8 @@
                     NotRun::NoLeader
                 }
                 _ => {
-                    // A server that sheds work is not asked as fast as it refuses.
+                    // Without the delay, an overloaded server would get retries as fast as it
+                    // refuses them.
                     tokio::time::sleep(REFUSAL_DELAY).await;
                     NotRun::ServerBusy
                 }
@@ -156,8 +169,8 @@
     }
 }
 
-/// Takes in what a server has shown by accepting what only the lead accepts; false if its answer is
-/// not to be believed, and the server not to be used as the lead.
+/// Records the proof of leadership that a server gave by accepting a request that only the leader
+/// accepts. Returns false if the proof is invalid and the server must not be used as the leader.
 pub fn record_proof(
     context: &Context,
     group: &Group,
@@ -174,7 +187,7 @@
     false
 }
 
-/// Does not use a server as the lead for now.
+/// Records that a server must not be used as the leader for now.
 fn reject_leader(
     context: &Context,
     group: &Group,
@@ -197,9 +210,14 @@
     }
 }
 
-/// Makes sure that a proof sent at or after `since` is known, at most until `until`.
+/// Obtains a proof of leadership that was requested at or after `since`, and waits for it until
+/// `until`.
+///
+/// Concurrent calls for the same group share one exchange.
+///
+/// # Errors
 ///
-/// Units that need one at the same time share one exchange.
+/// The reason why there is no such proof.
 pub async fn renew_proof(
     context: &Context,
     group: &Group,
@@ -218,7 +236,7 @@
             let need = ConnectionNeed::own(&values);
             let mut opened = begin_with_retry(context, group, need, until).await?;
             if let Ok(connection) = opened.leased.connection() {
-                // A connection that breaks here is closed when the place is dropped.
+                // A connection that breaks here is closed when the lease is dropped.
                 let _ = connection.roll_back().await;
             }
             continue;
@@ -231,8 +249,8 @@
     }
 }
 
-/// As [`begin_on_leader`], for a proof that many reads share: where a cold lead takes no more for
-/// now, it is asked again, so that reads on warm replicas need not be refused.
+/// Like [`begin_on_leader`], but retries while a cold leader grants no permit: many reads share the
+/// proof, and reads on warm replicas should not be refused because the leader is cold.
 async fn begin_with_retry(
     context: &Context,
     group: &Group,
@@ -251,14 +269,14 @@
 }
 
 impl Unit {
-    /// As [`begin_on_leader`], for this unit.
+    /// Like [`begin_on_leader`], for this unit.
     pub async fn begin_on_leader(&self, until: Timestamp) -> Result<LeaderTransaction, NotRun> {
         let (context, group) = (&self.context, &self.group);
         let (need, allowed) = (self.connection_need(), &self.allowed_regions);
         begin_on_leader(context, group, need, allowed, until).await
     }
 
-    /// As [`record_proof`], for this unit.
+    /// Like [`record_proof`], for this unit.
     pub fn record_proof(
         &self,
         server: &Server,
@@ -268,7 +286,7 @@
         record_proof(&self.context, &self.group, server, sent_at, position)
     }
 
-    /// As [`acquire_leader`], for this unit.
+    /// Like [`acquire_leader`], for this unit.
     pub async fn acquire_leader(&self, until: Timestamp) -> Result<LeasedConnection, NotRun> {
         let (context, group) = (&self.context, &self.group);
         let (need, allowed) = (self.connection_need(), &self.allowed_regions);
--- a/crates/spurpier-pipeline/src/unit/mod.rs
+++ b/crates/spurpier-pipeline/src/unit/mod.rs
@@ -1,9 +1,11 @@
 //! Units of work: one statement outside a transaction, or one transaction.
 //!
-//! What must hold: a write is sent once, and again only after a server's own promise that it did
-//! not run; a read that must see the newest log runs in a transaction that only the lead accepts;
-//! any other read runs behind the position that its freshness asks for; a connection with an
-//! answer outstanding is never used for another session.
+//! Invariants:
+//!
+//! - A write is sent once, and retried only after a server has confirmed that it did not run.
+//! - A read that must observe the latest commits runs in a transaction only the leader accepts.
+//! - Any other read runs on a server that has applied the position that its freshness requires.
+//! - A connection with an outstanding answer is never used for another session.
 
 mod attempt;
 mod deadlines;
@@ -43,51 +45,51 @@
 use crate::server::{ConnectionNeed, Server, Values};
 use crate::tenant::Caller;
 
-/// What a unit knows of its session and its route.
+/// A unit of work, with the state of its session and its route.
 pub struct Unit {
-    /// What all units share.
+    /// The state that all units of this node share.
     pub context: Arc<Context>,
-    /// The group that serves it.
+    /// The replication group that serves the route.
     pub group: Arc<Group>,
-    /// Its route.
+    /// The route of the client's database.
     pub route: Arc<Route>,
-    /// Whom it is run for.
+    /// The client for which it runs.
     pub caller: Caller,
-    /// Where it may run.
+    /// The regions in which it may run.
     pub allowed_regions: AllowedRegions,
-    /// The session's values.
+    /// The session variables to set on server connections.
     pub values: Values,
-    /// The session's last commit in this group.
+    /// The session's last commit in this group, which its reads must observe.
     pub own_commit: Option<SessionCommit>,
-    /// Its limits in time.
+    /// Until when it may wait and run.
     pub deadlines: Deadlines,
-    /// The version of the configuration that has the route.
+    /// The version of the configuration from which the route was taken.
     pub configuration: u64,
 }
 
-/// Why a unit has not run.
+/// The reason why a unit has not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NotRun {
-    /// No server leads the group, as far as is known.
+    /// The group has no known leader.
     NoLeader,
     /// All connections are in use.
     NoConnection,
-    /// The server has too much work.
+    /// The server is overloaded.
     ServerBusy,
-    /// No server shows the position that is asked for.
+    /// No server has applied the required position.
     NoFreshServer,
     /// No server can be reached.
     NoServer,
     /// No home of the group can be reached.
     NoHome,
-    /// The tenant is at its limit for so long.
+    /// The tenant has used up its quota; retry after this time.
     OverQuota(Duration),
-    /// No node that counts the tenant's operations has answered; one may within this time.
+    /// No quota authority of the tenant has answered; retry after this time.
     NoAuthority(Duration),
     /// A newer configuration gives the database to another group, the key to another tenant, or
     /// allows other regions.
     Rerouted,
-    /// What could run it stands where it must not run.
+    /// The servers that could run it are barred to it, for example by region or evacuation.
     Barred(Bar),
 }
 
@@ -107,7 +109,7 @@
         }
     }
 
-    /// When a client should come back, in milliseconds.
+    /// Returns the time after which a client should retry, in milliseconds.
     fn retry_after_ms(self) -> u32 {
         match self {
             NotRun::OverQuota(delay) | NotRun::NoAuthority(delay) => millis(delay),
@@ -134,23 +136,23 @@
     }
 }
 
-/// A unit's answer and what it means for the session.
+/// A unit's answer and the commit that it acknowledges.
 #[derive(Debug)]
 pub struct UnitResult {
-    /// The answer.
+    /// The answer for the client.
     pub answer: Answer,
-    /// The position of a commit that the answer acknowledges.
+    /// The log position of the commit, if the answer acknowledges one.
     pub committed: Option<Position>,
 }
 
 impl UnitResult {
-    /// An answer that acknowledges no commit.
+    /// Creates the result of an answer that acknowledges no commit.
     pub fn answer(answer: Answer) -> Self {
         let committed = None;
         UnitResult { answer, committed }
     }
 
-    /// What another node has replied.
+    /// Creates the result from another node's answer to a forwarded unit.
     pub fn from_forwarded(answer: CalledAnswer) -> Self {
         let (answer, committed) = answer.into_parts();
         UnitResult { answer, committed }
@@ -162,12 +164,12 @@
         self.route.freshness == FreshnessKind::Latest
     }
 
-    /// Whether only the lead can run such a statement.
+    /// Whether only the leader can run a statement of this effect.
     pub fn needs_leader(&self, effect: Effect) -> bool {
         effect == Effect::Write || self.is_latest()
     }
 
-    /// The zone of the server that leads the group, as far as is known.
+    /// Returns the zone of the group's presumed leader.
     pub fn leader_zone(&self) -> Option<String> {
         let context = &self.context;
         let leader = self
@@ -177,9 +179,11 @@
         Some(zone)
     }
 
-    /// The home that runs such a statement in the place of this one: one that is known to reach
-    /// the lead if this one does not, or while units wait here for connections to the server that
-    /// would run it, one in that server's zone or nearby.
+    /// Returns another home that should run such a statement instead of this node, if any.
+    ///
+    /// That is a home which is known to reach the leader if this node does not. While units queue
+    /// here for connections to the server that would run the statement, it is a home in that
+    /// server's zone or nearby.
     pub fn preferred_home(&self, effect: Effect) -> Option<PeerNode> {
         if self.needs_leader(effect)
             && let Some(relay) = self.group.relay(self.context.clock.now())
@@ -191,7 +195,7 @@
         let is_usable =
             |home: &&PeerNode| self.context.links.is_usable(home.address) && self.may_run_on(home);
         if !self.context.holds_lease(&self.group) {
-            // What needs the lead, or a proof of it, cannot be done here.
+            // Neither the leader nor a proof of leadership is available on this node.
             return homes.others.iter().find(is_usable).cloned();
         }
         let crowded = self.crowded_server(effect)?;
@@ -199,7 +203,8 @@
         if crowded.distance == Distance::Zone {
             return near.filter(is_usable).choose(&mut rand::rng()).cloned();
         }
-        // Its connections are held for the way to the server and back only once, there or here.
+        // The unit makes the round trip to that zone once either way, but a home there holds the
+        // connection only for the trip within the zone.
         let zone = crowded.listing().entry.zone.clone();
         let there = homes.others.iter().filter(|home| home.zone == zone);
         let there = there.filter(is_usable).choose(&mut rand::rng());
@@ -208,14 +213,14 @@
             .cloned()
     }
 
-    /// Takes in that this node runs the unit in the place of homes that it cannot reach.
+    /// Records that this node runs the unit in place of homes that it cannot reach.
     pub fn stand_in(&self) {
         self.group.stand_in(self.context.clock.now());
         self.context.note_visited(&self.group);
         self.context.lease_wanted.notify_one();
     }
 
-    /// The server that would run such a statement, if units wait here for connections to it.
+    /// Returns the server that would run such a statement if units queue here for its connections.
     fn crowded_server(&self, effect: Effect) -> Option<Arc<Server>> {
         let servers = self.group.servers();
         if !servers.iter().any(|server| server.pool.is_crowded()) {
@@ -229,7 +234,7 @@
         server.filter(|server| server.pool.is_crowded())
     }
 
-    /// Runs a statement outside a transaction on this node's connections.
+    /// Runs a statement outside a transaction on one of this node's server connections.
     pub async fn run_locally(&self, statement: &ClientStatement, effect: Effect) -> UnitResult {
         match effect {
             Effect::Read => self.read(statement).await,
@@ -237,7 +242,7 @@
         }
     }
 
-    /// What it needs of a connection.
+    /// Returns the caller and session variables that a connection must have.
     pub(crate) fn connection_need(&self) -> ConnectionNeed<'_> {
         ConnectionNeed {
             caller: Some(self.caller.name()),
@@ -245,12 +250,12 @@
         }
     }
 
-    /// The answer of a unit that a newer configuration than that of its route does not let run
-    /// here; none if it may run.
+    /// Returns the refusal of a unit if a newer configuration than that of its route does not admit
+    /// it here, or `None` if it may run.
     ///
-    /// A node that takes in the configuration late forwards under the former one. Its home, which
-    /// knows better, must not run that: a home ran a write for a database that it had known to be
-    /// dropped for five seconds (seen in the logs of both nodes).
+    /// A node that receives the configuration late forwards units under the previous one. Without
+    /// this check, a home that has the new configuration would still run them: for example a write
+    /// to a database that it has known to be dropped for five seconds.
     pub fn refuse_superseded(&self, id: &str) -> Option<Answer> {
         let in_force = self.context.in_force()?;
         if in_force.configuration.version <= self.configuration {
@@ -269,7 +274,7 @@
         }
     }
 
-    /// The answer of a statement that has not run.
+    /// Logs and counts that a statement has not run, and returns its answer.
     pub fn refuse(&self, id: &str, reason: NotRun) -> Answer {
         self.context.metrics.count_refusal(reason.text());
         let retry_after_ms = reason.retry_after_ms();
@@ -289,7 +294,7 @@
         Answer::error(ErrorClass::Busy, text, TransactionState::Idle)
     }
 
-    /// The answer of a statement of which cannot be told whether it ran.
+    /// Logs that it is unknown whether a statement ran, and returns its answer.
     pub fn unknown_outcome(&self, id: &str, class: ErrorClass, server: impl Display) -> Answer {
         if let Some(suppressed) = self.log_budget(events::REQUEST_UNKNOWN) {
             log_event!(
@@ -305,7 +310,8 @@
         Answer::error(class, "no answer came", TransactionState::Idle)
     }
 
-    /// The answer in a transaction whose connection was given up: the server drops it.
+    /// Logs that a transaction lost its connection, and returns its answer. The server rolls the
+    /// transaction back.
     pub fn abort(&self, id: &str, server: impl Display, why: &str) -> Answer {
         if let Some(suppressed) = self.log_budget(events::REQUEST_NOT_RUN) {
             log_event!(
@@ -322,7 +328,7 @@
         Answer::error(ErrorClass::Aborted, text, TransactionState::Failed)
     }
 
-    /// Notes that a statement is tried again.
+    /// Logs and counts that a statement is retried.
     pub fn record_retry(&self, id: &str, server: impl Display, why: &'static str) {
         self.context.metrics.count_retry(why);
         if let Some(suppressed) = self.log_budget(events::REQUEST_RETRIED) {
@@ -338,7 +344,7 @@
         }
     }
 
-    /// Whether a line of the event may be written, and how many were suppressed before it.
+    /// Returns the number of suppressed lines if the event may be logged now, otherwise `None`.
     fn log_budget(&self, event: Event) -> Option<u32> {
         let context = &self.context;
         context.log_budget.take(event, context.clock.now())
--- a/crates/spurpier-pipeline/src/unit/open_transactions.rs
+++ b/crates/spurpier-pipeline/src/unit/open_transactions.rs
@@ -1,4 +1,4 @@
-//! The places of open transactions, which are given up from outside when their zone is closed.
+//! Registry of the connections of open transactions, which closes them when a zone is evacuated.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, Weak};
@@ -13,12 +13,12 @@
     connections: HashMap<u64, Weak<SharedConnection>>,
 }
 
-/// The places of all transactions that stand open on this node's connections.
+/// The connections of all transactions that are open on this node.
 #[derive(Debug, Clone, Default)]
 pub struct OpenTransactions(Arc<Mutex<Inner>>);
 
 impl OpenTransactions {
-    /// Notes a transaction's place.
+    /// Registers a transaction's connection until the returned handle is dropped.
     pub fn hold(&self, leased: LeasedConnection) -> HeldConnection {
         let leased = Arc::new(Mutex::new(Some(leased)));
         let id = {
@@ -35,8 +35,9 @@
         }
     }
 
-    /// Closes the connections of transactions that rest in a zone, and tells how many; one whose
-    /// statement runs is closed after its answer.
+    /// Closes the connections of idle transactions on servers in `zone` and returns their number.
+    ///
+    /// A connection on which a statement is running is closed after its answer.
     pub fn close_in_zone(&self, zone: &str) -> usize {
         let connections: Vec<_> = self.lock().connections.values().cloned().collect();
         let connections = connections.iter().filter_map(Weak::upgrade);
@@ -53,7 +54,7 @@
     }
 }
 
-/// A transaction's place between its statements.
+/// A transaction's connection, held between its statements.
 #[derive(Debug)]
 pub struct HeldConnection {
     leased: Arc<SharedConnection>,
@@ -62,12 +63,12 @@
 }
 
 impl HeldConnection {
-    /// Takes the place for a statement; none if it was given up.
+    /// Takes the connection to run a statement. Returns `None` if it has been closed.
     pub fn take(&self) -> Option<LeasedConnection> {
         locked(&self.leased).take()
     }
 
-    /// Gives the place back after a statement, unless nothing more may be sent there.
+    /// Puts the connection back after a statement, or closes it if its server's zone is closed.
     pub fn put_back(&self, leased: Option<LeasedConnection>) {
         let leased = leased.filter(|leased| !leased.server.pool.zone_gate().is_closed());
         *locked(&self.leased) = leased;
--- a/crates/spurpier-pipeline/src/unit/read.rs
+++ b/crates/spurpier-pipeline/src/unit/read.rs
@@ -1,4 +1,4 @@
-//! Reads outside a transaction, and where reads run.
+//! Reads outside a transaction, and the choice of the server for a read.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,15 +16,16 @@
 use crate::ports::{Answer, ErrorClass, TransactionState};
 use crate::server::{AcquireError, OpenError, Server};
 
-/// Servers that one read tries.
+/// The maximum number of attempts of one read.
 const MAX_ATTEMPTS: usize = 4;
-/// A proof older than this share of the allowed staleness is renewed ahead of need.
+/// A proof of leadership is renewed early once its age exceeds the allowed staleness divided by
+/// this number.
 const EARLY_RENEWAL_DIVISOR: u32 = 2;
-/// Until when a server of an evacuated zone is tried only after all others.
+/// The `avoided_until` of servers in evacuated zones, which are tried after all others.
 const FAR_FUTURE: Timestamp = Timestamp::from_micros(u64::MAX);
 
 impl Unit {
-    /// Runs a read.
+    /// Runs a read with the freshness that its route requires.
     pub async fn read(&self, statement: &ClientStatement) -> UnitResult {
         self.context.note_first_attempt();
         let answer = if self.is_latest() {
@@ -35,7 +36,7 @@
         UnitResult::answer(answer)
     }
 
-    /// Runs a read in a transaction that only the lead accepts.
+    /// Runs a read in a transaction that only the leader accepts.
     async fn read_latest(&self, statement: &ClientStatement) -> Answer {
         let mut refused = NotRun::NoLeader;
         for _ in 0..MAX_ATTEMPTS {
@@ -65,7 +66,7 @@
         self.refuse(&statement.id, refused)
     }
 
-    /// Runs a read behind the position that its freshness asks for, on the best server.
+    /// Runs a read on the best server that has applied the position that its freshness requires.
     async fn read_fresh(&self, statement: &ClientStatement) -> Answer {
         let mut floor = match self.floor().await {
             Ok(floor) => floor,
@@ -80,8 +81,8 @@
         }
     }
 
-    /// Runs a read behind a position, on each of the best servers at most once; gives an answer to
-    /// pass on, or why it has not run.
+    /// Runs a read on a server that has applied the position `floor`, and tries each of the best
+    /// servers at most once. Returns the answer for the client or the reason why it has not run.
     async fn read_at_or_after(
         &self,
         statement: &ClientStatement,
@@ -112,7 +113,7 @@
                 break;
             }
             if refused == NotRun::NoFreshServer && self.is_leader(&server) {
-                // The lead itself lacks the position: it was dropped when the lead changed.
+                // The leader itself lacks the position, which was lost in a leader change.
                 *floor = self.newest_floor().await?;
                 tried.clear();
             }
@@ -120,7 +121,7 @@
         Err(refused)
     }
 
-    /// An answer to pass on, or why another server is to be tried.
+    /// Returns the answer for the client, or the reason why another server must be tried.
     fn classify_read(
         &self,
         statement: &ClientStatement,
@@ -143,8 +144,8 @@
         Err(self.record_refusal(server, class))
     }
 
-    /// Until when the present attempt may last: a part of what is left, so that another can
-    /// follow.
+    /// Returns the deadline of the current attempt: 60% of the remaining time, to leave time for
+    /// another attempt.
     fn attempt_deadline(&self) -> Timestamp {
         let now = self.context.clock.now();
         let left = self.deadlines.run_until.since(now);
@@ -159,7 +160,7 @@
         leader.is_some_and(|leader| leader.incarnation == server.incarnation)
     }
 
-    /// The position that the unit's reads must find.
+    /// Returns the position that a server must have applied to run the unit's reads.
     pub(super) async fn floor(&self) -> Result<Position, NotRun> {
         let staleness = self.route.freshness.staleness();
         let since = self.deadlines.arrived.saturating_sub(staleness);
@@ -172,7 +173,7 @@
         }
     }
 
-    /// The server that a read would go to first, by what is known now.
+    /// Returns the server that a read would try first at present.
     pub(super) fn likely_reader(&self, servers: &[Arc<Server>]) -> Option<Arc<Server>> {
         let staleness = self.route.freshness.staleness();
         let since = self.deadlines.arrived.saturating_sub(staleness);
@@ -208,7 +209,7 @@
                 .collect();
             choose_read_server(&loads, excluded, floor, now)
         };
-        // A warm server goes first: a cold one is slow, and takes what no warm one is ready for.
+        // Cold servers are slow, so they are used only if no warm server is ready.
         let is_open = |server: &Server| self.bar_to_read(server, now).is_none();
         let is_ready = |server: &Server| {
             let is_avoided = server.is_evacuated() || server.health().avoided_until > now;
@@ -220,19 +221,20 @@
             .or_else(|| choose(&is_open))
     }
 
-    /// Why a read must not go to a server now; none if it may.
+    /// Returns the reason why a read must not use a server now, or `None` if it may.
     pub(super) fn bar_to_read(&self, server: &Server, now: Timestamp) -> Option<Bar> {
         let places = &self.context.places;
         places.bar_to_read(&self.allowed_regions, server, now)
     }
 
-    /// Why no server can be tried at all: what bars those that stay, if that is so of each.
+    /// Returns the reason why no server can be tried: the bar if each server that is not leaving is
+    /// barred.
     pub(super) fn no_reader_reason(&self) -> NotRun {
         self.bar_at_servers()
             .map_or(NotRun::NoServer, NotRun::Barred)
     }
 
-    /// The position of a proof that covers all that was acknowledged before now.
+    /// Returns the position of a new proof, which covers all commits acknowledged before this call.
     async fn newest_floor(&self) -> Result<Position, NotRun> {
         let since = self.context.clock.now();
         renew_proof(&self.context, &self.group, since, self.deadlines.wait_until).await?;
@@ -240,7 +242,7 @@
         floor.ok_or(NotRun::NoFreshServer)
     }
 
-    /// Has the proof renewed before it is too old, so that reads need not wait for it.
+    /// Renews the proof in the background before it is too old, so that reads need not wait for it.
     fn renew_proof_early(&self, staleness: Duration) {
         let now = self.context.clock.now();
         let renew_at = staleness / EARLY_RENEWAL_DIVISOR;
@@ -254,13 +256,13 @@
         let (context, group) = (Arc::clone(&self.context), Arc::clone(&self.group));
         tokio::spawn(async move {
             let until = now + staleness / EARLY_RENEWAL_DIVISOR;
-            // If it fails, the read that needs the proof asks again.
+            // On failure, the next read that needs the proof requests it again.
             let _ = renew_proof(&context, &group, now, until).await;
         });
     }
 
-    /// Takes a connection to the best server that has not been tried and gives one; none if all
-    /// have been tried, and then `refused` tells why the last one gave none.
+    /// Acquires a connection to the best untried server that provides one. Returns `None` if all
+    /// servers have been tried; `refused` then holds the reason of the last failure.
     pub(super) async fn next_reader(
         &self,
         floor: Position,
@@ -275,7 +277,7 @@
         }
     }
 
-    /// Takes a connection to the best server that has not been tried; none if all have been.
+    /// Acquires a connection to the best untried server. Returns `None` if all have been tried.
     async fn acquire_reader(
         &self,
         floor: Position,
@@ -311,8 +313,8 @@
     }
 }
 
-/// Whether a further attempt is one after a failure. A replica that is behind is none, nor is a cold
-/// server that takes no more for now.
+/// Whether another attempt counts as a retry after a failure. A lagging replica and a cold server
+/// without a permit do not count as failures.
 fn is_failure(refused: NotRun) -> bool {
     !matches!(
         refused,
@@ -320,13 +322,13 @@
     )
 }
 
-/// An answer in the words of a session that stands outside a transaction.
+/// Sets the answer's transaction state to that of a session outside a transaction.
 fn outside_transaction(mut answer: Answer) -> Answer {
     answer.state = TransactionState::Idle;
     answer
 }
 
-/// A floor as a statement carries it; the start of the log needs none.
+/// Returns the position to send with a statement; the start of the log needs none.
 pub(super) fn after(floor: Position) -> Option<Position> {
     (floor != Position::ZERO).then_some(floor)
 }
--- a/crates/spurpier-pipeline/src/unit/statement.rs
+++ b/crates/spurpier-pipeline/src/unit/statement.rs
@@ -1,22 +1,23 @@
-//! What is sent to a server for a client's statement.
+//! A client's statement and the request that is sent to a server for it.
 
 use spurpier_core::position::Position;
 
 use crate::ports::{Effect, ServerRequest};
 
-/// A prepared statement as a unit uses it.
+/// The execution of a prepared statement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PreparedExecution {
-    /// What executing it does.
+    /// Whether the prepared statement reads or writes.
     pub effect: Effect,
-    /// Its shape.
+    /// The shape of the prepared statement, by which sessions share it on a server connection.
     pub shape: String,
-    /// What follows its name in the client's text.
+    /// The arguments: the part of the client's text after the statement's name.
     pub arguments: String,
 }
 
 impl PreparedExecution {
-    /// The name on server connections: the same for all sessions that prepare the same shape.
+    /// Returns the statement's name on server connections, which all sessions that prepare the same
+    /// shape share.
     pub fn server_name(&self) -> String {
         let prefix = match self.effect {
             Effect::Read => 'r',
@@ -26,20 +27,20 @@
     }
 }
 
-/// A client's statement.
+/// A client's statement, either plain text or the execution of a prepared statement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClientStatement {
-    /// The client's name for it.
+    /// The client's identifier of the statement.
     pub id: String,
-    /// Its text, as given.
+    /// The text as the client sent it.
     pub text: String,
-    /// Set if it executes a prepared statement.
+    /// The prepared statement that it executes, if any.
     pub prepared: Option<PreparedExecution>,
     server_name: String,
 }
 
 impl ClientStatement {
-    /// A statement that is sent as given.
+    /// Creates a statement whose text is sent unchanged.
     pub fn plain(id: String, text: String) -> Self {
         ClientStatement {
             id,
@@ -49,7 +50,7 @@
         }
     }
 
-    /// An execution of a prepared statement.
+    /// Creates the execution of a prepared statement.
     pub fn execution(id: String, text: String, prepared: PreparedExecution) -> Self {
         ClientStatement {
             id,
@@ -59,12 +60,12 @@
         }
     }
 
-    /// The server's name of the prepared statement.
+    /// Returns the prepared statement's name on server connections; empty for plain statements.
     pub fn server_name(&self) -> &str {
         &self.server_name
     }
 
-    /// The message that is sent, behind a position if one is given.
+    /// Returns the request to send; if `after` is given, the server must have applied it.
     pub fn request(&self, after: Option<Position>) -> ServerRequest<'_> {
         match &self.prepared {
             Some(prepared) => ServerRequest::Execute {
--- a/crates/spurpier-pipeline/src/unit/transaction.rs
+++ b/crates/spurpier-pipeline/src/unit/transaction.rs
@@ -1,4 +1,4 @@
-//! Transactions: all statements on the connection that opened them.
+//! Transactions, each of which runs all its statements on the connection that opened it.
 
 use std::sync::Arc;
 
@@ -14,25 +14,25 @@
 use crate::ports::{Answer, ErrorClass, TransactionState};
 use crate::server::ExchangeError;
 
-/// Servers that the opening of a read-only transaction tries.
+/// The maximum number of servers on which opening a read-only transaction is tried.
 const MAX_ATTEMPTS: usize = 4;
 
-/// A transaction that stands open.
+/// A transaction that is open on a server connection of this node.
 pub struct OpenTransaction {
     /// The unit that opened it.
     pub unit: Unit,
-    /// Its connection; gone without a word if nothing more may be sent to its zone.
+    /// Its connection, which is closed without a notification if its zone is evacuated.
     leased: HeldConnection,
-    /// Whether it was given up, and only its end is taken.
+    /// Whether it was abandoned: only a commit or rollback is still accepted.
     abandoned: bool,
-    /// Whether the server holds it as failed.
+    /// Whether the server reports it as failed.
     failed: bool,
     read_only: bool,
     wrote: bool,
 }
 
 impl OpenTransaction {
-    /// Opens a transaction; gives the client's answer, and the transaction if it is open.
+    /// Opens a transaction. Returns the answer for the client, and the transaction if it is open.
     pub async fn begin(
         unit: Unit,
         statement: &ClientStatement,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The state that the client is told.
+    /// Returns the transaction state to report to the client.
     pub fn state(&self) -> TransactionState {
         if self.failed || self.abandoned {
             TransactionState::Failed
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Runs a statement, at most until the unit's time is over.
+    /// Runs a statement and waits for its answer until the unit's deadline.
     pub async fn run(&mut self, statement: &ClientStatement, writes: bool) -> Answer {
         if self.abandoned {
             return Answer::error(ErrorClass::Malformed, "failed", TransactionState::Failed);
@@ -109,12 +109,15 @@
         self.leased.put_back(leased);
     }
 
-    /// The answer in a transaction whose connection was closed with its server's zone.
+    /// Returns the answer in a transaction whose connection was closed because its zone was
+    /// evacuated.
     fn evacuated(&self, statement: &ClientStatement) -> Answer {
         self.unit.abort(&statement.id, "", Bar::Evacuated.text())
     }
 
-    /// Commits.
+    /// Commits the transaction. If it has failed, rolls it back and returns an error.
+    ///
+    /// If it is unknown whether the commit ran, the answer is [`ErrorClass::InDoubt`].
     pub async fn commit(self, statement: &ClientStatement) -> UnitResult {
         if self.failed || self.abandoned {
             self.roll_back().await;
@@ -174,25 +177,26 @@
         }
     }
 
-    /// Drops the transaction; the server is told.
+    /// Rolls the transaction back on the server.
     pub async fn roll_back(mut self) {
         self.expire().await;
     }
 
-    /// Gives the connection up: the server drops the transaction, and only its end is taken.
+    /// Rolls the transaction back on the server and releases its connection. From then on only a
+    /// commit or rollback is accepted.
     pub async fn expire(&mut self) {
         self.abandoned = true;
         if let Some(mut leased) = self.leased.take()
             && let Ok(connection) = leased.connection()
         {
-            // A connection that breaks here is closed, which drops the transaction too.
+            // A connection that breaks here is closed, which also rolls the transaction back.
             let _ = connection.roll_back().await;
         }
     }
 }
 
 impl Unit {
-    /// Opens a read-only transaction behind the position that its freshness asks for.
+    /// Opens a read-only transaction with the freshness that its route requires.
     async fn begin_read_only(
         &self,
         statement: &ClientStatement,
@@ -209,7 +213,8 @@
         }
     }
 
-    /// Opens a read-only transaction behind a position, on each of the best servers at most once.
+    /// Opens a read-only transaction on a server that has applied the position `floor`, and tries
+    /// each of the best servers at most once.
     async fn begin_at_or_after(
         &self,
         statement: &ClientStatement,
@@ -233,8 +238,8 @@
         Err(refused)
     }
 
-    /// Opens a read-only transaction that sees the newest log: behind a position that the lead
-    /// has shown since the unit arrived.
+    /// Opens a read-only transaction that observes the latest commits: after a position that the
+    /// leader has reported since the unit arrived.
     async fn begin_read_only_on_leader(
         &self,
         statement: &ClientStatement,
--- a/crates/spurpier-pipeline/src/unit/write.rs
+++ b/crates/spurpier-pipeline/src/unit/write.rs
@@ -1,4 +1,6 @@
-//! Writes outside a transaction: sent once, and again only after the server's own promise.
+//! Writes outside a transaction.
+//!
+//! A write is sent once, and retried only after the server has confirmed that it did not run.
 
 use std::sync::Arc;
 
@@ -8,11 +10,11 @@
 use crate::ports::ErrorClass;
 use crate::server::Server;
 
-/// Attempts after which a refusing lead's answer is passed on.
+/// The number of attempts after which a leader's refusal is returned to the client.
 const MAX_ATTEMPTS: usize = 3;
 
 impl Unit {
-    /// Runs a write on the lead.
+    /// Runs a write on the leader.
     pub async fn write(&self, statement: &ClientStatement) -> UnitResult {
         self.context.note_first_attempt();
         let mut refused = NotRun::NoLeader;
@@ -74,7 +76,7 @@
         UnitResult::answer(self.refuse(&statement.id, refused))
     }
 
-    /// Takes in a server's promise that a statement did not run there.
+    /// Records a server's confirmation that a statement did not run, and returns the reason.
     pub(super) fn record_refusal(&self, server: &Server, class: ErrorClass) -> NotRun {
         let now = self.context.clock.now();
         match class {
