--- a/crates/spurpier-pipeline/src/configuration/rows.rs
+++ b/crates/spurpier-pipeline/src/configuration/rows.rs
@@ -14,7 +14,7 @@
 use spurpier_core::wire::{List, LongText};
 
 use crate::follow::note_news;
-use crate::forward::{CalledFreshness, duration, millis};
+use crate::forward::{WireFreshness, duration, millis};
 use crate::ports::{Configuration, GroupSettings, KeyDigest, Quota, Route, Row, Tenant};
 
 /// What stands before a database's name in the key of its route's row.
@@ -29,7 +29,7 @@
 #[derive(Debug, SerBin, DeBin)]
 struct RouteRow {
     group: LongText,
-    freshness: CalledFreshness,
+    freshness: WireFreshness,
     timeout_ms: u32,
     target_ms: u32,
     is_public: bool,
--- a/crates/spurpier-pipeline/src/follow/peer.rs
+++ b/crates/spurpier-pipeline/src/follow/peer.rs
@@ -12,7 +12,7 @@
 
 use super::{Follower, RowSink, TakenNews};
 use crate::events;
-use crate::forward::{Call, Link, Outcome, Reply, ToldNode, ToldWatchers, millis};
+use crate::forward::{Call, CallOutcome, Link, NodeEndpoint, Reply, WatcherAssignment, millis};
 use crate::homes::PeerNode;
 use crate::known_tables::{News, table_number};
 
@@ -28,7 +28,7 @@
 /// How long a node that starts again waits for any seed: two ways to another region and back.
 const RESTART_SEED_LIMIT: Duration = Duration::from_millis(200);
 
-fn told_peer(told: ToldNode) -> PeerNode {
+fn told_peer(told: NodeEndpoint) -> PeerNode {
     PeerNode {
         name: told.name,
         address: told.address,
@@ -136,10 +136,10 @@
             None => FIRST_NEWS_WAIT,
         };
         let asked_at = clock.now();
-        let received_before = link.part_bytes();
+        let received_before = link.partial_bytes();
         let limit = wait + self.patience.turn();
         let answered = self.call(link, wait, limit).await;
-        *received_bytes += link.part_bytes() - received_before;
+        *received_bytes += link.partial_bytes() - received_before;
         let news = answered?;
         let told_at = news.told_at(asked_at);
         let age = self.context.clock.now().since(told_at);
@@ -163,11 +163,11 @@
         let clock = &self.context.clock;
         let end = clock.instant(clock.now() + limit);
         match link.call_while_moving(call, end).await {
-            Outcome::Replied(Reply::News(news)) => Ok(news),
-            Outcome::Replied(
-                Reply::NotTaken | Reply::Answered(_) | Reply::Leaves(_) | Reply::Watchers(_),
+            CallOutcome::Replied(Reply::TableUpdates(news)) => Ok(news),
+            CallOutcome::Replied(
+                Reply::NotStarted | Reply::Answered(_) | Reply::Permits(_) | Reply::Watchers(_),
             ) => Err(Missed::NotTaken),
-            Outcome::NotSent | Outcome::Lost => Err(Missed::Unanswered),
+            CallOutcome::NotSent | CallOutcome::Lost => Err(Missed::Unanswered),
         }
     }
 
@@ -184,14 +184,14 @@
             self.ask_seeds_at_once().await
         };
         match told {
-            Some(told) if !told.is_caller => told.nodes.0.into_iter().map(told_peer).collect(),
+            Some(told) if !told.is_watcher => told.nodes.0.into_iter().map(told_peer).collect(),
             _ => Vec::new(),
         }
     }
 
     /// Asks one seed after another, which all of a fleet do as it starts: each waits until it has read
     /// the list.
-    async fn ask_seeds_in_turn(&self) -> Option<ToldWatchers> {
+    async fn ask_seeds_in_turn(&self) -> Option<WatcherAssignment> {
         let mut seeds = self.other_seeds();
         seeds.shuffle(&mut rand::rng());
         for seed in seeds {
@@ -205,7 +205,7 @@
 
     /// Asks all seeds, and takes what one of them knows at once: they may be down, or starting too, and
     /// a node that has started again must not wait for them.
-    async fn ask_seeds_at_once(&self) -> Option<ToldWatchers> {
+    async fn ask_seeds_at_once(&self) -> Option<WatcherAssignment> {
         let seeds = self.other_seeds().into_iter();
         let mut asked: FuturesUnordered<_> = seeds
             .map(|seed| self.watchers_of_seed(seed, Duration::ZERO))
@@ -221,7 +221,11 @@
         timeout(RESTART_SEED_LIMIT, told).await.ok().flatten()
     }
 
-    async fn watchers_of_seed(&self, seed: SocketAddr, wait: Duration) -> Option<ToldWatchers> {
+    async fn watchers_of_seed(
+        &self,
+        seed: SocketAddr,
+        wait: Duration,
+    ) -> Option<WatcherAssignment> {
         let node = &self.context.settings.node;
         let link = Link::connect(seed).await?;
         let call = Call::Watchers {
@@ -234,7 +238,7 @@
         let outcome = link.call_while_moving(call, end).await;
         link.close();
         match outcome {
-            Outcome::Replied(Reply::Watchers(told)) => Some(told),
+            CallOutcome::Replied(Reply::Watchers(told)) => Some(told),
             _ => None,
         }
     }
--- a/crates/spurpier-pipeline/src/forward/caller.rs
+++ b/crates/spurpier-pipeline/src/forward/caller.rs
@@ -3,9 +3,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::link::{Link, Outcome};
+use super::link::{CallOutcome, Link};
 use super::messages::{
-    Call, CallHead, CalledAnswer, CalledCaller, CalledSession, CalledWork, Reply, millis,
+    Call, CallHead, Reply, WireAnswer, WireCaller, WireSession, WireWork, millis,
 };
 use crate::configuration::region_names;
 use crate::homes::{Home, PeerNode};
@@ -21,16 +21,16 @@
     if let Some(bar) = unit.bar_everywhere(effect) {
         return Done::answer(unit.refuse(&work.id, NotRun::Barred(bar)));
     }
-    await_list(unit).await;
+    await_node_list(unit).await;
     let mut was_lost = false;
-    for home in usable(unit, unit.needs_lead(effect)) {
+    for home in candidate_homes(unit, unit.needs_lead(effect)) {
         let Home::Peer(home) = home else {
             return run_at_home(unit, work, effect).await;
         };
         let Some(link) = connect(unit, &home).await else {
             continue;
         };
-        let call = single(unit, work, effect, false);
+        let call = single_call(unit, work, effect, false);
         match call_within_time(unit, &link, call, effect == Effect::Read).await {
             UnitOutcome::Answered(answer) => return Done::of_call(answer),
             UnitOutcome::NotStarted => {}
@@ -58,7 +58,7 @@
 }
 
 /// Waits until this node knows the other nodes, as right after its start.
-pub(super) async fn await_list(unit: &Unit) {
+pub(super) async fn await_node_list(unit: &Unit) {
     let limit = unit.context.clock.instant(unit.times.wait_until);
     unit.context.homes.await_list(limit).await;
 }
@@ -68,7 +68,7 @@
     if let Some(relay) = unit.better_home(effect)
         && let Some(link) = connect(unit, &relay).await
     {
-        let call = single(unit, work, effect, true);
+        let call = single_call(unit, work, effect, true);
         match call_within_time(unit, &link, call, effect == Effect::Read).await {
             UnitOutcome::Answered(answer) => return Done::of_call(answer),
             UnitOutcome::NotStarted => {}
@@ -83,7 +83,7 @@
 
 /// The homes that may be given the unit and have not just failed to answer, in the order in which
 /// they are tried. This node, to which the client is connected, knows the unit wherever it stands.
-pub(super) fn usable(unit: &Unit, needs_lead: bool) -> Vec<Home> {
+pub(super) fn candidate_homes(unit: &Unit, needs_lead: bool) -> Vec<Home> {
     let context = &unit.context;
     let homes = context.homes_of(&unit.group.name);
     let mut homes = match &unit.caller.tenant {
@@ -110,10 +110,10 @@
         .await
 }
 
-fn single(unit: &Unit, work: &Work, effect: Effect, relayed: bool) -> Call {
+fn single_call(unit: &Unit, work: &Work, effect: Effect, relayed: bool) -> Call {
     Call::Single {
         head: head(unit, relayed),
-        work: CalledWork::from(work),
+        work: WireWork::from(work),
         effect,
     }
 }
@@ -126,7 +126,7 @@
         freshness: route.freshness.into(),
         timeout_ms: millis(route.timeout),
         target_ms: millis(route.target),
-        caller: CalledCaller::from(&unit.caller),
+        caller: WireCaller::from(&unit.caller),
         allowed_regions: region_names(&unit.allowed_regions),
         configuration: unit.configuration,
         own_commit: unit.own_commit.map(|commit| commit.position),
@@ -135,15 +135,15 @@
     }
 }
 
-pub(super) fn session(unit: &Unit) -> CalledSession {
+pub(super) fn session(unit: &Unit) -> WireSession {
     let waited = unit.times.waited(unit.context.clock.now());
-    CalledSession::new(waited, &unit.values)
+    WireSession::new(waited, &unit.values)
 }
 
 /// How a unit's call ended.
 pub(super) enum UnitOutcome {
     /// With its answer.
-    Answered(CalledAnswer),
+    Answered(WireAnswer),
     /// The other node has not started it and never will.
     NotStarted,
     /// Without an answer; it may have been run, or may be run yet.
@@ -162,10 +162,10 @@
     let end = unit.times.give_up + REPLY_SLACK;
     let end = unit.context.clock.instant(end);
     match link.call_until(call, end, may_repeat).await {
-        Outcome::Replied(Reply::Answered(answer)) => UnitOutcome::Answered(answer),
-        Outcome::Replied(Reply::NotTaken) | Outcome::NotSent => UnitOutcome::NotStarted,
+        CallOutcome::Replied(Reply::Answered(answer)) => UnitOutcome::Answered(answer),
+        CallOutcome::Replied(Reply::NotStarted) | CallOutcome::NotSent => UnitOutcome::NotStarted,
         // A reply that is none for a unit says nothing of it.
-        Outcome::Replied(Reply::News(_) | Reply::Leaves(_) | Reply::Watchers(_))
-        | Outcome::Lost => UnitOutcome::Lost,
+        CallOutcome::Replied(Reply::TableUpdates(_) | Reply::Permits(_) | Reply::Watchers(_))
+        | CallOutcome::Lost => UnitOutcome::Lost,
     }
 }
--- a/crates/spurpier-pipeline/src/forward/link.rs
+++ b/crates/spurpier-pipeline/src/forward/link.rs
@@ -17,7 +17,7 @@
 use crate::progress::{Progress, STALLED_AFTER, while_moving};
 
 /// How long opening a connection may take.
-const CONNECT_LIMIT: Duration = Duration::from_millis(400);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// How often the other node is asked whether it runs, while calls or transactions are open.
 const PING_INTERVAL: Duration = Duration::from_millis(150);
 /// After so long without a byte behind a message of ours, the node is passed over for new calls.
@@ -25,16 +25,16 @@
 /// After so long without a byte behind a message of ours, the connection is given up.
 const LOST_AFTER: Duration = Duration::from_millis(2_000);
 /// After so long without calls and transactions the connection is closed.
-const IDLE_LIMIT: Duration = Duration::from_secs(20);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 /// Messages that may wait to be written.
-const WRITE_CAPACITY: usize = 1_024;
+const WRITE_QUEUE_CAPACITY: usize = 1_024;
 
 /// How often a caller looks whether the other node still runs.
-const LOOK: Duration = Duration::from_millis(100);
+const SUSPECT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How a call ended.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Outcome {
+pub enum CallOutcome {
     /// With a reply.
     Replied(Reply),
     /// It was not sent.
@@ -60,25 +60,25 @@
     /// Since when a message has been sent and nothing has come; none while the node answers.
     unanswered_since: Mutex<Option<Instant>>,
     /// What comes of messages that are not whole yet.
-    parts: Progress,
+    partial: Progress,
     closed: CancellationToken,
 }
 
 impl Link {
     /// Opens a connection; none if the node cannot be reached.
     pub async fn connect(address: SocketAddr) -> Option<Arc<Self>> {
-        let stream = timeout(CONNECT_LIMIT, TcpStream::connect(address)).await;
+        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let stream = stream.ok()?.ok()?;
         prepare_socket(&stream).ok()?;
         let (reader, output) = stream.into_split();
-        let (writer, queue) = mpsc::channel(WRITE_CAPACITY);
+        let (writer, queue) = mpsc::channel(WRITE_QUEUE_CAPACITY);
         writer.try_send(LinkMessage::Hello(VERSION)).ok()?;
         let link = Arc::new(Link {
             writer,
             pending: Mutex::default(),
             next_number: AtomicU64::new(1),
             unanswered_since: Mutex::new(None),
-            parts: Progress::new(),
+            partial: Progress::new(),
             closed: CancellationToken::new(),
         });
         tokio::spawn(write_messages(output, queue, link.closed.clone()));
@@ -102,8 +102,8 @@
     }
 
     /// How many bytes have come that left a message unfinished.
-    pub fn part_bytes(&self) -> u64 {
-        self.parts.bytes()
+    pub fn partial_bytes(&self) -> u64 {
+        self.partial.bytes()
     }
 
     /// A number for a transaction, unique on this connection.
@@ -113,51 +113,51 @@
 
     /// Makes a call and waits for its reply until `end`; a call that may be made elsewhere is given
     /// up as soon as the other node is suspected to have stopped.
-    pub async fn call_until(&self, call: Call, end: Instant, may_repeat: bool) -> Outcome {
+    pub async fn call_until(&self, call: Call, end: Instant, may_repeat: bool) -> CallOutcome {
         tokio::select! {
             biased;
             outcome = self.call(call) => outcome,
-            () = sleep_until(end) => Outcome::Lost,
-            () = self.suspected(), if may_repeat => Outcome::Lost,
+            () = sleep_until(end) => CallOutcome::Lost,
+            () = self.suspected(), if may_repeat => CallOutcome::Lost,
         }
     }
 
     /// Asks for what may take long to come: waits until `end`, and longer while a message comes.
-    pub async fn call_while_moving(&self, call: Call, end: Instant) -> Outcome {
+    pub async fn call_while_moving(&self, call: Call, end: Instant) -> CallOutcome {
         tokio::select! {
             biased;
-            outcome = while_moving(self.call(call), &self.parts, end) => {
-                outcome.unwrap_or(Outcome::Lost)
+            outcome = while_moving(self.call(call), &self.partial, end) => {
+                outcome.unwrap_or(CallOutcome::Lost)
             }
-            () = self.suspected() => Outcome::Lost,
+            () = self.suspected() => CallOutcome::Lost,
         }
     }
 
     /// Returns when the other node is suspected to have stopped.
     async fn suspected(&self) {
         while !self.is_suspect() {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(SUSPECT_CHECK_INTERVAL).await;
         }
     }
 
     /// Makes a call. Dropping the future tells the other node that nobody awaits it.
-    async fn call(&self, call: Call) -> Outcome {
+    async fn call(&self, call: Call) -> CallOutcome {
         let number = self.next_number();
         let (sender, reply) = oneshot::channel();
         {
             let mut pending = self.pending();
             if pending.closed {
-                return Outcome::NotSent;
+                return CallOutcome::NotSent;
             }
             pending.calls.insert(number, sender);
         }
-        let _awaited = Awaited { link: self, number };
+        let _cancel_on_drop = CancelOnDrop { link: self, number };
         let message = LinkMessage::Call { number, call };
         if self.writer.try_send(message).is_err() {
-            return Outcome::NotSent;
+            return CallOutcome::NotSent;
         }
-        self.note_sent();
-        reply.await.map_or(Outcome::Lost, Outcome::Replied)
+        self.record_sent();
+        reply.await.map_or(CallOutcome::Lost, CallOutcome::Replied)
     }
 
     /// Counts a transaction that has been opened on the other node.
@@ -173,23 +173,23 @@
 
     /// Has the other node drop a transaction, if it still has it.
     pub fn drop_transaction(&self, number: u64) {
-        let told = self.writer.try_send(LinkMessage::EndTransaction(number));
+        let sent = self.writer.try_send(LinkMessage::EndTransaction(number));
         // The end of the connection ends all its transactions.
-        if told.is_err() {
+        if sent.is_err() {
             self.closed.cancel();
         }
     }
 
-    fn note_sent(&self) {
+    fn record_sent(&self) {
         self.unanswered().get_or_insert_with(Instant::now);
     }
 
-    fn note_part(&self, length: usize) {
-        self.parts.note(length);
-        self.note_heard();
+    fn record_partial(&self, length: usize) {
+        self.partial.note(length);
+        self.record_received();
     }
 
-    fn note_heard(&self) {
+    fn record_received(&self) {
         *self.unanswered() = None;
     }
 
@@ -227,14 +227,14 @@
     }
 
     async fn read(&self, mut reader: MessageReader) {
-        while let Some(message) = reader.next_with(|length| self.note_part(length)).await {
-            self.note_heard();
+        while let Some(message) = reader.next_with(|length| self.record_partial(length)).await {
+            self.record_received();
             match message {
                 LinkMessage::Reply { number, reply } => {
-                    if matches!(&reply, Reply::News(news) if news.is_large()) {
+                    if matches!(&reply, Reply::TableUpdates(updates) if updates.is_large()) {
                         // Told before the news are taken in, which may take long on a slow node. A
                         // turn whose end cannot be told ends by itself.
-                        let _ = self.writer.try_send(LinkMessage::NewsCame(number));
+                        let _ = self.writer.try_send(LinkMessage::UpdatesReceived(number));
                     }
                     let caller = self.pending().calls.remove(&number);
                     if let Some(caller) = caller {
@@ -261,8 +261,8 @@
                 used_at = Instant::now();
                 // A full queue holds enough that the node must answer.
                 let _ = self.writer.try_send(LinkMessage::Ping);
-                self.note_sent();
-            } else if used_at.elapsed() >= IDLE_LIMIT {
+                self.record_sent();
+            } else if used_at.elapsed() >= IDLE_TIMEOUT {
                 return;
             }
         }
@@ -270,12 +270,12 @@
 }
 
 /// A call whose reply is awaited; the other node is told when it is dropped before.
-struct Awaited<'a> {
+struct CancelOnDrop<'a> {
     link: &'a Link,
     number: u64,
 }
 
-impl Drop for Awaited<'_> {
+impl Drop for CancelOnDrop<'_> {
     fn drop(&mut self) {
         let was_waiting = self.link.pending().calls.remove(&self.number).is_some();
         if was_waiting {
--- a/crates/spurpier-pipeline/src/forward/links.rs
+++ b/crates/spurpier-pipeline/src/forward/links.rs
@@ -16,9 +16,9 @@
 /// How often a node that could not be reached is tried again, beside the units' way.
 const PROBE_INTERVAL: Duration = Duration::from_millis(300);
 /// For how long a node that cannot be reached is tried; then it counts as lost.
-const PROBE_LIMIT: Duration = Duration::from_secs(10);
+const PROBE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Lost nodes that may wait to be taken off the list.
-const LOST_CAPACITY: usize = 64;
+const LOST_QUEUE_CAPACITY: usize = 64;
 
 /// The connections to other nodes, by their addresses.
 #[derive(Debug)]
@@ -43,7 +43,7 @@
 impl Links {
     /// No connections yet, and where nodes are told that cannot be reached.
     pub fn new() -> (Self, LostNodes) {
-        let (lost, receiver) = mpsc::channel(LOST_CAPACITY);
+        let (lost, receiver) = mpsc::channel(LOST_QUEUE_CAPACITY);
         let slots = Mutex::default();
         (Links { slots, lost }, receiver)
     }
@@ -95,7 +95,7 @@
                 tokio::time::sleep(PROBE_INTERVAL).await;
             }
         };
-        if timeout(PROBE_LIMIT, probing).await.is_err() {
+        if timeout(PROBE_TIMEOUT, probing).await.is_err() {
             // If it cannot be told now, the next probe tells.
             let _ = lost.try_send(address);
         }
--- a/crates/spurpier-pipeline/src/forward/messages.rs
+++ b/crates/spurpier-pipeline/src/forward/messages.rs
@@ -44,7 +44,7 @@
     /// Caller: nobody awaits the call any more.
     Cancel(u64),
     /// Caller: much news of a table, the reply to this call, have come whole.
-    NewsCame(u64),
+    UpdatesReceived(u64),
     /// Caller: drops a transaction; there is no reply.
     EndTransaction(u64),
     /// Runner: how a call ended.
@@ -68,7 +68,7 @@
         /// Where and how it runs.
         head: CallHead,
         /// The statement.
-        work: CalledWork,
+        work: WireWork,
         /// What it does.
         effect: Effect,
     },
@@ -77,20 +77,20 @@
         /// Where and how it runs.
         head: CallHead,
         /// The opening statement.
-        work: CalledWork,
+        work: WireWork,
         /// The caller's number for the transaction.
         transaction: u64,
         /// Whether it may only read.
         read_only: bool,
     },
     /// A statement in a transaction.
-    Within {
+    InTransaction {
         /// The transaction.
         transaction: u64,
         /// The session's state.
-        session: CalledSession,
+        session: WireSession,
         /// The statement.
-        work: CalledWork,
+        work: WireWork,
         /// What it does.
         effect: Effect,
     },
@@ -99,12 +99,12 @@
         /// The transaction.
         transaction: u64,
         /// The session's state.
-        session: CalledSession,
+        session: WireSession,
         /// The statement.
-        work: CalledWork,
+        work: WireWork,
     },
     /// Asks for leave to start operations of tenants.
-    Leaves(LeaveQuestion),
+    Permits(LeaveQuestion),
     /// Asks a node whose address the settings name which nodes to follow.
     Watchers {
         /// The caller's name.
@@ -133,13 +133,13 @@
     /// The group.
     pub group: String,
     /// How fresh its reads must be.
-    pub freshness: CalledFreshness,
+    pub freshness: WireFreshness,
     /// How long a statement may take, in milliseconds.
     pub timeout_ms: u32,
     /// Within what an operation should be answered, in milliseconds.
     pub target_ms: u32,
     /// Whom it is run for.
-    pub caller: CalledCaller,
+    pub caller: WireCaller,
     /// Where it may run; none if anywhere.
     pub allowed_regions: Option<List<LongText>>,
     /// The version of the configuration that has the route and the caller's key.
@@ -147,7 +147,7 @@
     /// The position of the session's last commit in the group.
     pub own_commit: Option<Position>,
     /// The session's state.
-    pub session: CalledSession,
+    pub session: WireSession,
     /// Whether the unit was handed on by a home that has no way to the lead; it is not handed on
     /// again.
     pub relayed: bool,
@@ -155,29 +155,29 @@
 
 /// [`Caller`] as a message carries it.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
-pub struct CalledCaller {
+pub struct WireCaller {
     tenant: Option<String>,
     key: Option<KeyDigest>,
 }
 
-impl CalledCaller {
+impl WireCaller {
     /// Whether it is not told apart from others.
     pub fn is_unnamed(&self) -> bool {
         self.tenant.is_none()
     }
 }
 
-impl From<&Caller> for CalledCaller {
+impl From<&Caller> for WireCaller {
     fn from(caller: &Caller) -> Self {
-        CalledCaller {
+        WireCaller {
             tenant: caller.tenant.as_deref().map(str::to_owned),
             key: caller.key,
         }
     }
 }
 
-impl From<CalledCaller> for Caller {
-    fn from(caller: CalledCaller) -> Self {
+impl From<WireCaller> for Caller {
+    fn from(caller: WireCaller) -> Self {
         Caller {
             tenant: caller.tenant.map(Arc::from),
             key: caller.key,
@@ -187,7 +187,7 @@
 
 /// What a runner must know of the session.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
-pub struct CalledSession {
+pub struct WireSession {
     /// How long the statement has waited at the caller, in milliseconds.
     pub waited_ms: u32,
     /// The session's values: names and values in turn.
@@ -196,7 +196,7 @@
 
 /// [`FreshnessKind`] as a message carries it; staleness in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, SerBin, DeBin)]
-pub enum CalledFreshness {
+pub enum WireFreshness {
     /// `Latest`.
     Latest,
     /// `Bounded`.
@@ -207,14 +207,14 @@
 
 /// [`Work`] as a message carries it.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
-pub struct CalledWork {
+pub struct WireWork {
     id: LongText,
     text: LongText,
-    prepared: Option<CalledPrepared>,
+    prepared: Option<WirePrepared>,
 }
 
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
-struct CalledPrepared {
+struct WirePrepared {
     effect: Effect,
     shape: LongText,
     arguments: LongText,
@@ -224,29 +224,29 @@
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
 pub enum Reply {
     /// The runner has not started it.
-    NotTaken,
+    NotStarted,
     /// Its answer.
-    Answered(CalledAnswer),
+    Answered(WireAnswer),
     /// What is known of a table, and what of it is new.
-    News(News),
+    TableUpdates(News),
     /// How many operations may start.
-    Leaves(LeaveAnswer),
+    Permits(LeaveAnswer),
     /// Which nodes to follow.
-    Watchers(ToldWatchers),
+    Watchers(WatcherAssignment),
 }
 
 /// The nodes that a starting node is to follow.
 #[derive(Debug, Clone, PartialEq, Eq, SerBin, DeBin)]
-pub struct ToldWatchers {
+pub struct WatcherAssignment {
     /// Whether it is to follow the store itself.
-    pub is_caller: bool,
+    pub is_watcher: bool,
     /// Some of the others, those to ask first before.
-    pub nodes: List<ToldNode>,
+    pub nodes: List<NodeEndpoint>,
 }
 
 /// A node as a message names it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ToldNode {
+pub struct NodeEndpoint {
     /// Its name.
     pub name: String,
     /// Where it is reached.
@@ -255,7 +255,7 @@
     pub zone: String,
 }
 
-impl SerBin for ToldNode {
+impl SerBin for NodeEndpoint {
     fn ser_bin(&self, output: &mut Vec<u8>) {
         encode_text(&self.name, output);
         encode_address(self.address, output);
@@ -263,9 +263,9 @@
     }
 }
 
-impl DeBin for ToldNode {
+impl DeBin for NodeEndpoint {
     fn de_bin(offset: &mut usize, bytes: &[u8]) -> Result<Self, DeBinErr> {
-        Ok(ToldNode {
+        Ok(NodeEndpoint {
             name: decode_text(offset, bytes)?.to_owned(),
             address: decode_address(offset, bytes)?,
             zone: decode_text(offset, bytes)?.to_owned(),
@@ -275,7 +275,7 @@
 
 /// [`Answer`] as a message carries it, and what it commits.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
-pub struct CalledAnswer {
+pub struct WireAnswer {
     rows: List<Blob>,
     /// The signature of a success.
     signature: Option<Blob>,
@@ -313,31 +313,31 @@
     Duration::from_millis(u64::from(millis))
 }
 
-impl From<FreshnessKind> for CalledFreshness {
+impl From<FreshnessKind> for WireFreshness {
     fn from(kind: FreshnessKind) -> Self {
         match kind {
-            FreshnessKind::Latest => CalledFreshness::Latest,
-            FreshnessKind::Bounded(staleness) => CalledFreshness::Bounded(millis(staleness)),
-            FreshnessKind::OwnWrites(staleness) => CalledFreshness::OwnWrites(millis(staleness)),
+            FreshnessKind::Latest => WireFreshness::Latest,
+            FreshnessKind::Bounded(staleness) => WireFreshness::Bounded(millis(staleness)),
+            FreshnessKind::OwnWrites(staleness) => WireFreshness::OwnWrites(millis(staleness)),
         }
     }
 }
 
-impl From<CalledFreshness> for FreshnessKind {
-    fn from(kind: CalledFreshness) -> Self {
+impl From<WireFreshness> for FreshnessKind {
+    fn from(kind: WireFreshness) -> Self {
         match kind {
-            CalledFreshness::Latest => FreshnessKind::Latest,
-            CalledFreshness::Bounded(staleness) => FreshnessKind::Bounded(duration(staleness)),
-            CalledFreshness::OwnWrites(staleness) => FreshnessKind::OwnWrites(duration(staleness)),
+            WireFreshness::Latest => FreshnessKind::Latest,
+            WireFreshness::Bounded(staleness) => FreshnessKind::Bounded(duration(staleness)),
+            WireFreshness::OwnWrites(staleness) => FreshnessKind::OwnWrites(duration(staleness)),
         }
     }
 }
 
-impl CalledSession {
+impl WireSession {
     /// The state of a session whose statement has waited for so long.
     pub fn new(waited: Duration, values: &Values) -> Self {
         let texts = values.iter().flat_map(|(name, value)| [name, value]);
-        CalledSession {
+        WireSession {
             waited_ms: millis(waited),
             values: List(texts.cloned().collect()),
         }
@@ -352,14 +352,14 @@
     }
 }
 
-impl From<&Work> for CalledWork {
+impl From<&Work> for WireWork {
     fn from(work: &Work) -> Self {
-        let prepared = work.prepared.as_ref().map(|prepared| CalledPrepared {
+        let prepared = work.prepared.as_ref().map(|prepared| WirePrepared {
             effect: prepared.effect,
             shape: LongText(prepared.shape.clone()),
             arguments: LongText(prepared.arguments.clone()),
         });
-        CalledWork {
+        WireWork {
             id: LongText(work.id.clone()),
             text: LongText(work.text.clone()),
             prepared,
@@ -367,8 +367,8 @@
     }
 }
 
-impl From<CalledWork> for Work {
-    fn from(work: CalledWork) -> Self {
+impl From<WireWork> for Work {
+    fn from(work: WireWork) -> Self {
         let (id, text) = (work.id.0, work.text.0);
         match work.prepared {
             None => Work::plain(id, text),
@@ -385,14 +385,14 @@
     }
 }
 
-impl CalledAnswer {
+impl WireAnswer {
     /// An answer, and the position of the commit that it acknowledges.
     pub fn new(answer: Answer, committed: Option<Position>) -> Self {
         let (signature, error, error_text) = match answer.outcome {
             Ok(completion) => (completion.signature.map(Blob), None, String::new()),
             Err(error) => (None, Some(error.class), error.text),
         };
-        CalledAnswer {
+        WireAnswer {
             rows: List(answer.rows.into_iter().map(Blob).collect()),
             signature,
             error,
--- a/crates/spurpier-pipeline/src/forward/mod.rs
+++ b/crates/spurpier-pipeline/src/forward/mod.rs
@@ -1,6 +1,6 @@
 //! Units that run on another node: at a home of their group, which holds the connections.
 //!
-//! [`run_single`] and [`PlacedTransaction`] run a session's statements where the group's
+//! [`run_single`] and [`RoutedTransaction`] run a session's statements where the group's
 //! connections are, on this node or another one. [`serve`] runs those of other nodes. One
 //! connection to a node carries many calls. The same connections tell of the store's tables.
 //!
@@ -16,10 +16,10 @@
 mod transaction;
 
 pub use caller::run_single;
-pub use link::{Link, Outcome};
+pub use link::{CallOutcome, Link};
 pub use links::{Links, LostNodes};
 pub use messages::{
-    Call, CalledAnswer, CalledFreshness, Reply, ToldNode, ToldWatchers, duration, millis,
+    Call, NodeEndpoint, Reply, WatcherAssignment, WireAnswer, WireFreshness, duration, millis,
 };
 pub use server::serve;
-pub use transaction::PlacedTransaction;
+pub use transaction::RoutedTransaction;
--- a/crates/spurpier-pipeline/src/forward/server.rs
+++ b/crates/spurpier-pipeline/src/forward/server.rs
@@ -15,10 +15,10 @@
 
 use super::caller::run_at_home;
 use super::messages::{
-    Call, CallHead, CalledAnswer, CalledSession, LinkMessage, Reply, VERSION, duration,
+    Call, CallHead, LinkMessage, Reply, VERSION, WireAnswer, WireSession, duration,
 };
 use super::stream::{MessageReader, prepare_socket, write_messages};
-use super::transaction::PlacedTransaction;
+use super::transaction::RoutedTransaction;
 use crate::configuration::allowed_regions;
 use crate::context::Context;
 use crate::known_tables::News;
@@ -28,18 +28,18 @@
 use crate::unit::{Times, Unit, Work};
 
 /// The pause after a failed accept, as when descriptors have run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// After so long without a message a caller that has work open here counts as gone: it pings.
-const CALLER_LOST: Duration = Duration::from_millis(2_500);
+const CALLER_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// After so long without a message an unused connection is closed.
-const UNUSED_LIMIT: Duration = Duration::from_secs(60);
+const UNUSED_TIMEOUT: Duration = Duration::from_secs(60);
 /// The longest wait for news that is taken.
-const LONGEST_NEWS_WAIT: Duration = Duration::from_secs(5);
+const MAX_UPDATE_WAIT: Duration = Duration::from_secs(5);
 /// How long a caller keeps its turn to be told much of a table if it does not say that it has come:
 /// 69 KB take half of it on a tenth of a link of 10 Mbit/s.
-const TURN_LIMIT: Duration = Duration::from_secs(1);
+const TRANSFER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Replies that may wait to be written.
-const WRITE_CAPACITY: usize = 4_096;
+const WRITE_QUEUE_CAPACITY: usize = 4_096;
 
 /// Takes connections of other nodes; never returns.
 pub async fn serve(context: Arc<Context>, listener: TcpListener) {
@@ -48,7 +48,7 @@
             Ok((stream, _)) => {
                 tokio::spawn(serve_caller(Arc::clone(&context), stream));
             }
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
@@ -58,45 +58,45 @@
         return;
     }
     let (reader, output) = stream.into_split();
-    let (writer, queue) = mpsc::channel(WRITE_CAPACITY);
+    let (writer, queue) = mpsc::channel(WRITE_QUEUE_CAPACITY);
     let closed = CancellationToken::new();
     tokio::spawn(write_messages(output, queue, closed.clone()));
-    let served = Arc::new(Served {
+    let connection = Arc::new(CallerConnection {
         context,
         writer,
         open: Mutex::default(),
     });
     tokio::select! {
-        () = served.read(MessageReader::new(reader)) => {}
+        () = connection.read(MessageReader::new(reader)) => {}
         () = closed.cancelled() => {}
     }
     closed.cancel();
-    served.end_all().await;
+    connection.end_all().await;
 }
 
 /// A transaction of a caller; it counts as work that a drain waits for.
 struct HeldTransaction {
-    transaction: PlacedTransaction,
+    transaction: RoutedTransaction,
     _counted: TaskTrackerToken,
 }
 
 #[derive(Default)]
-struct Open {
+struct OpenWork {
     calls: HashMap<u64, AbortHandle>,
     transactions: HashMap<u64, HeldTransaction>,
     /// What keeps the caller's turns to be told much of a table, by the calls' numbers.
-    turns: HashMap<u64, AbortHandle>,
+    transfers: HashMap<u64, AbortHandle>,
 }
 
 /// What one caller has open here.
-struct Served {
+struct CallerConnection {
     context: Arc<Context>,
     writer: mpsc::Sender<LinkMessage>,
-    open: Mutex<Open>,
+    open: Mutex<OpenWork>,
 }
 
-impl Served {
-    fn open(&self) -> MutexGuard<'_, Open> {
+impl CallerConnection {
+    fn open(&self) -> MutexGuard<'_, OpenWork> {
         self.open.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -107,23 +107,23 @@
 
     /// Takes messages until the caller is gone or breaks the protocol.
     async fn read(self: &Arc<Self>, mut reader: MessageReader) {
-        let hello = timeout(CALLER_LOST, reader.next()).await;
+        let hello = timeout(CALLER_TIMEOUT, reader.next()).await;
         if hello != Ok(Some(LinkMessage::Hello(VERSION))) {
             return;
         }
         loop {
-            let limit = if self.is_used() {
-                CALLER_LOST
+            let max_silence = if self.is_used() {
+                CALLER_TIMEOUT
             } else {
-                UNUSED_LIMIT
+                UNUSED_TIMEOUT
             };
-            let Ok(Some(message)) = timeout(limit, reader.next()).await else {
+            let Ok(Some(message)) = timeout(max_silence, reader.next()).await else {
                 return;
             };
             match message {
                 LinkMessage::Call { number, call } => self.start(number, call),
                 LinkMessage::Cancel(number) => self.cancel(number),
-                LinkMessage::NewsCame(number) => self.end_turn(number),
+                LinkMessage::UpdatesReceived(number) => self.end_transfer(number),
                 LinkMessage::EndTransaction(number) => self.end_transaction(number).await,
                 LinkMessage::Ping => {
                     // A queue that is full holds replies, which say as much.
@@ -135,14 +135,14 @@
     }
 
     fn start(self: &Arc<Self>, number: u64, call: Call) {
-        let served = Arc::clone(self);
+        let connection = Arc::clone(self);
         // Held until the call is noted, so that a call that ends at once is forgotten after it.
         let mut open = self.open();
         let running = self.context.forwarded.spawn(async move {
-            let reply = served.run(number, call).await;
-            served.open().calls.remove(&number);
+            let reply = connection.run(number, call).await;
+            connection.open().calls.remove(&number);
             // A caller that is gone needs no reply.
-            let _ = served
+            let _ = connection
                 .writer
                 .send(LinkMessage::Reply { number, reply })
                 .await;
@@ -165,7 +165,7 @@
 
     async fn end_all(&self) {
         let open = std::mem::take(&mut *self.open());
-        for task in open.calls.values().chain(open.turns.values()) {
+        for task in open.calls.values().chain(open.transfers.values()) {
             task.abort();
         }
         for mut held in open.transactions.into_values() {
@@ -187,13 +187,13 @@
                 self.begin(head, Work::from(work), transaction, read_only)
                     .await
             }
-            Call::Within {
+            Call::InTransaction {
                 transaction,
                 session,
                 work,
                 effect,
             } => {
-                self.run_within(transaction, &session, Work::from(work), effect)
+                self.run_in_transaction(transaction, &session, Work::from(work), effect)
                     .await
             }
             Call::Commit {
@@ -201,15 +201,15 @@
                 session,
                 work,
             } => self.commit(transaction, &session, Work::from(work)).await,
-            Call::Leaves(question) => {
-                answer_question(&self.context, question).map_or(Reply::NotTaken, Reply::Leaves)
+            Call::Permits(question) => {
+                answer_question(&self.context, question).map_or(Reply::NotStarted, Reply::Permits)
             }
             Call::Watchers {
                 name,
                 zone,
                 wait_ms,
             } => {
-                self.tell_watchers(&name.0, &zone.0, duration(wait_ms))
+                self.assign_watchers(&name.0, &zone.0, duration(wait_ms))
                     .await
             }
             Call::Follow {
@@ -217,21 +217,21 @@
                 version,
                 wait_ms,
             } => {
-                self.tell_news(number, table, version, duration(wait_ms))
+                self.send_table_updates(number, table, version, duration(wait_ms))
                     .await
             }
         }
     }
 
     /// Tells a starting node which nodes to follow, once this one has read the list of nodes.
-    async fn tell_watchers(&self, name: &str, zone: &str, wait: Duration) -> Reply {
+    async fn assign_watchers(&self, name: &str, zone: &str, wait: Duration) -> Reply {
         let homes = &self.context.homes;
         homes
-            .await_list(Instant::now() + wait.min(LONGEST_NEWS_WAIT))
+            .await_list(Instant::now() + wait.min(MAX_UPDATE_WAIT))
             .await;
         homes
             .watchers_for(name, zone)
-            .map_or(Reply::NotTaken, Reply::Watchers)
+            .map_or(Reply::NotStarted, Reply::Watchers)
     }
 
     /// Waits until there is something new of a table, and tells it; at the end of the wait only
@@ -241,7 +241,7 @@
     /// narrow link for seconds, the followers take this node as silent and ask others, which are
     /// overloaded in turn: 6,100 calls to the store on a day of 295 nodes and 2,800 new routes. A
     /// turn ends as the news have come, however long the follower takes to work them in.
-    async fn tell_news(
+    async fn send_table_updates(
         &self,
         number: u64,
         table: u8,
@@ -251,7 +251,7 @@
         let called_at = self.context.clock.now();
         let known = &self.context.known_tables;
         let mut changes = known.changes();
-        let news = async {
+        let updates = async {
             while !known.has_news(table, version) {
                 if changes.changed().await.is_err() {
                     return;
@@ -259,76 +259,77 @@
             }
         };
         tokio::select! {
-            _ = timeout(wait.min(LONGEST_NEWS_WAIT), news) => {}
+            _ = timeout(wait.min(MAX_UPDATE_WAIT), updates) => {}
             // Those that follow this node are to follow another one.
-            () = self.context.draining.cancelled() => return Reply::NotTaken,
+            () = self.context.draining.cancelled() => return Reply::NotStarted,
         }
-        let news = || known.news(table, version, called_at, self.context.clock.now());
-        let mut told = news();
-        if told.as_ref().is_some_and(News::is_large) {
-            let Some(turns) = self.context.news_turns.get(usize::from(table)) else {
-                return Reply::NotTaken;
+        let updates = || known.news(table, version, called_at, self.context.clock.now());
+        let mut reply = updates();
+        if reply.as_ref().is_some_and(News::is_large) {
+            let Some(transfers) = self.context.news_turns.get(usize::from(table)) else {
+                return Reply::NotStarted;
             };
-            let Ok(turn) = Arc::clone(turns).acquire_owned().await else {
-                return Reply::NotTaken;
+            let Ok(transfer) = Arc::clone(transfers).acquire_owned().await else {
+                return Reply::NotStarted;
             };
             // What has changed since, and how old it is now.
-            told = news();
-            self.keep_turn(number, turn);
+            reply = updates();
+            self.hold_transfer(number, transfer);
         }
-        told.map_or(Reply::NotTaken, Reply::News)
+        reply.map_or(Reply::NotStarted, Reply::TableUpdates)
     }
 
     /// Keeps a turn until the caller has the reply to a call, for a while.
-    fn keep_turn(&self, number: u64, turn: OwnedSemaphorePermit) {
-        let kept = tokio::spawn(async move {
-            tokio::time::sleep(TURN_LIMIT).await;
-            drop(turn);
+    fn hold_transfer(&self, number: u64, transfer: OwnedSemaphorePermit) {
+        let held_transfer = tokio::spawn(async move {
+            tokio::time::sleep(TRANSFER_TIMEOUT).await;
+            drop(transfer);
         });
         let mut open = self.open();
-        open.turns.retain(|_, kept| !kept.is_finished());
-        open.turns.insert(number, kept.abort_handle());
+        open.transfers
+            .retain(|_, held_transfer| !held_transfer.is_finished());
+        open.transfers.insert(number, held_transfer.abort_handle());
     }
 
-    fn end_turn(&self, number: u64) {
-        if let Some(kept) = self.open().turns.remove(&number) {
-            kept.abort();
+    fn end_transfer(&self, number: u64) {
+        if let Some(held_transfer) = self.open().transfers.remove(&number) {
+            held_transfer.abort();
         }
     }
 
     async fn run_single(&self, head: CallHead, work: Work, effect: Effect) -> Reply {
         let relayed = head.relayed;
         let Some(unit) = self.unit(head) else {
-            return Reply::NotTaken;
+            return Reply::NotStarted;
         };
         if let Some(answer) = unit.refuse_superseded(&work.id) {
-            return Reply::Answered(CalledAnswer::new(answer, None));
+            return Reply::Answered(WireAnswer::new(answer, None));
         }
         let done = if relayed {
             unit.run_here(&work, effect).await
         } else {
             run_at_home(&unit, &work, effect).await
         };
-        Reply::Answered(CalledAnswer::new(done.answer, done.committed))
+        Reply::Answered(WireAnswer::new(done.answer, done.committed))
     }
 
     async fn begin(&self, head: CallHead, work: Work, number: u64, read_only: bool) -> Reply {
         let may_relay = !head.relayed;
         let Some(unit) = self.unit(head) else {
-            return Reply::NotTaken;
+            return Reply::NotStarted;
         };
         if let Some(answer) = unit.refuse_superseded(&work.id) {
-            return Reply::Answered(CalledAnswer::new(answer, None));
+            return Reply::Answered(WireAnswer::new(answer, None));
         }
-        let begun = PlacedTransaction::begin_at_home(unit, &work, read_only, may_relay);
-        let (answer, transaction) = begun.await;
+        let beginning = RoutedTransaction::begin_at_home(unit, &work, read_only, may_relay);
+        let (answer, transaction) = beginning.await;
         if let Some(transaction) = transaction {
-            self.hold(number, transaction);
+            self.hold_transaction(number, transaction);
         }
-        Reply::Answered(CalledAnswer::new(answer, None))
+        Reply::Answered(WireAnswer::new(answer, None))
     }
 
-    fn hold(&self, number: u64, transaction: PlacedTransaction) {
+    fn hold_transaction(&self, number: u64, transaction: RoutedTransaction) {
         let held = HeldTransaction {
             transaction,
             _counted: self.context.forwarded.token(),
@@ -337,7 +338,7 @@
     }
 
     /// Takes a transaction out for its next statement.
-    fn take(&self, number: u64, session: &CalledSession) -> Option<PlacedTransaction> {
+    fn take_transaction(&self, number: u64, session: &WireSession) -> Option<RoutedTransaction> {
         let held = self.open().transactions.remove(&number)?;
         let mut transaction = held.transaction;
         let waited = duration(session.waited_ms);
@@ -348,34 +349,34 @@
         Some(transaction)
     }
 
-    async fn run_within(
+    async fn run_in_transaction(
         &self,
         number: u64,
-        session: &CalledSession,
+        session: &WireSession,
         work: Work,
         effect: Effect,
     ) -> Reply {
-        let Some(mut transaction) = self.take(number, session) else {
-            return Reply::NotTaken;
+        let Some(mut transaction) = self.take_transaction(number, session) else {
+            return Reply::NotStarted;
         };
         if self.context.closing.is_cancelled() {
             transaction.expire().await;
             let text = "retry-after-ms=100 the node is stopping";
             let answer = Answer::error(ErrorClass::Aborted, text, TransactionState::Failed);
-            return Reply::Answered(CalledAnswer::new(answer, None));
+            return Reply::Answered(WireAnswer::new(answer, None));
         }
         let answer = transaction.run(&work, effect).await;
         // Held again before the caller knows, so that its next statement finds it.
-        self.hold(number, transaction);
-        Reply::Answered(CalledAnswer::new(answer, None))
+        self.hold_transaction(number, transaction);
+        Reply::Answered(WireAnswer::new(answer, None))
     }
 
-    async fn commit(&self, number: u64, session: &CalledSession, work: Work) -> Reply {
-        let Some(transaction) = self.take(number, session) else {
-            return Reply::NotTaken;
+    async fn commit(&self, number: u64, session: &WireSession, work: Work) -> Reply {
+        let Some(transaction) = self.take_transaction(number, session) else {
+            return Reply::NotStarted;
         };
         let done = transaction.commit(&work).await;
-        Reply::Answered(CalledAnswer::new(done.answer, done.committed))
+        Reply::Answered(WireAnswer::new(done.answer, done.committed))
     }
 
     /// The unit of a call; none if this node takes no more, or does not know the group.
--- a/crates/spurpier-pipeline/src/forward/stream.rs
+++ b/crates/spurpier-pipeline/src/forward/stream.rs
@@ -44,16 +44,19 @@
         self.next_with(|_| {}).await
     }
 
-    /// As [`MessageReader::next`]; `note_part` is told how many bytes have come each time that they
+    /// As [`MessageReader::next`]; `record_partial` is told how many bytes have come each time that they
     /// leave a message unfinished.
-    pub async fn next_with(&mut self, mut note_part: impl FnMut(usize)) -> Option<LinkMessage> {
+    pub async fn next_with(
+        &mut self,
+        mut record_partial: impl FnMut(usize),
+    ) -> Option<LinkMessage> {
         let mut length = 0;
         loop {
             if let Some(message) = decode_framed(&mut self.input).ok()? {
                 return Some(message);
             }
             if length > 0 {
-                note_part(length);
+                record_partial(length);
             }
             self.input.reserve(READ_SIZE);
             length = self.stream.read_buf(&mut self.input).await.ok()?;
--- a/crates/spurpier-pipeline/src/forward/transaction.rs
+++ b/crates/spurpier-pipeline/src/forward/transaction.rs
@@ -2,23 +2,25 @@
 
 use std::sync::Arc;
 
-use super::caller::{UnitOutcome, await_list, call_within_time, connect, head, session, usable};
+use super::caller::{
+    UnitOutcome, await_node_list, call_within_time, candidate_homes, connect, head, session,
+};
 use super::link::Link;
-use super::messages::{Call, CalledWork};
+use super::messages::{Call, WireWork};
 use crate::homes::{Home, PeerNode};
 use crate::ports::{Answer, Effect, ErrorClass, TransactionState};
 use crate::server::Values;
 use crate::unit::{Done, NotRun, OpenTransaction, Times, Unit, Work};
 
 /// A transaction that stands open.
-pub enum PlacedTransaction {
+pub enum RoutedTransaction {
     /// On a connection of this node.
-    Here(OpenTransaction),
+    Local(OpenTransaction),
     /// On a connection of another node.
-    There(RemoteTransaction),
+    Remote(RemoteTransaction),
 }
 
-impl PlacedTransaction {
+impl RoutedTransaction {
     /// Opens a transaction where the group's connections are; gives the client's answer, and the
     /// transaction if it is open.
     pub async fn begin(unit: Unit, work: &Work, read_only: bool) -> (Answer, Option<Self>) {
@@ -27,17 +29,17 @@
         if let Some(bar) = unit.bar_everywhere(effect) {
             return (unit.refuse(&work.id, NotRun::Barred(bar)), None);
         }
-        await_list(&unit).await;
-        for home in usable(&unit, unit.needs_lead(effect)) {
+        await_node_list(&unit).await;
+        for home in candidate_homes(&unit, unit.needs_lead(effect)) {
             let Home::Peer(home) = home else {
                 return Self::begin_at_home(unit, work, read_only, true).await;
             };
-            match begin_there(&unit, work, read_only, &home, false).await {
-                Begun::Open(link, number, answer) => {
-                    return opened(unit, link, number, home, answer);
+            match begin_remote(&unit, work, read_only, &home, false).await {
+                BeginOutcome::Open(link, number, answer) => {
+                    return remote_transaction(unit, link, number, home, answer);
                 }
-                Begun::Refused(answer) => return (answer, None),
-                Begun::NotTaken => {}
+                BeginOutcome::Refused(answer) => return (answer, None),
+                BeginOutcome::NotStarted => {}
             }
         }
         if unit.context.clock.now() >= unit.times.wait_until {
@@ -57,23 +59,23 @@
     ) -> (Answer, Option<Self>) {
         let effect = opening_effect(read_only);
         if may_relay && let Some(relay) = unit.better_home(effect) {
-            match begin_there(&unit, work, read_only, &relay, true).await {
-                Begun::Open(link, number, answer) => {
-                    return opened(unit, link, number, relay, answer);
+            match begin_remote(&unit, work, read_only, &relay, true).await {
+                BeginOutcome::Open(link, number, answer) => {
+                    return remote_transaction(unit, link, number, relay, answer);
                 }
-                Begun::Refused(answer) => return (answer, None),
-                Begun::NotTaken => {}
+                BeginOutcome::Refused(answer) => return (answer, None),
+                BeginOutcome::NotStarted => {}
             }
         }
         let (answer, transaction) = OpenTransaction::begin(unit, work, read_only).await;
-        (answer, transaction.map(PlacedTransaction::Here))
+        (answer, transaction.map(RoutedTransaction::Local))
     }
 
     /// The state that the client is told.
     pub fn state(&self) -> TransactionState {
         match self {
-            PlacedTransaction::Here(transaction) => transaction.state(),
-            PlacedTransaction::There(transaction) => transaction.state(),
+            RoutedTransaction::Local(transaction) => transaction.state(),
+            RoutedTransaction::Remote(transaction) => transaction.state(),
         }
     }
 
@@ -84,16 +86,16 @@
 
     fn unit(&self) -> &Unit {
         match self {
-            PlacedTransaction::Here(transaction) => &transaction.unit,
-            PlacedTransaction::There(transaction) => &transaction.unit,
+            RoutedTransaction::Local(transaction) => &transaction.unit,
+            RoutedTransaction::Remote(transaction) => &transaction.unit,
         }
     }
 
     /// Takes in what the next statement must know of the session.
     pub fn prepare(&mut self, values: &Values, times: impl FnOnce(&Unit) -> Times) {
         let unit = match self {
-            PlacedTransaction::Here(transaction) => &mut transaction.unit,
-            PlacedTransaction::There(transaction) => &mut transaction.unit,
+            RoutedTransaction::Local(transaction) => &mut transaction.unit,
+            RoutedTransaction::Remote(transaction) => &mut transaction.unit,
         };
         unit.values.clone_from(values);
         unit.times = times(unit);
@@ -102,26 +104,26 @@
     /// Runs a statement.
     pub async fn run(&mut self, work: &Work, effect: Effect) -> Answer {
         match self {
-            PlacedTransaction::Here(transaction) => {
+            RoutedTransaction::Local(transaction) => {
                 transaction.run(work, effect == Effect::Write).await
             }
-            PlacedTransaction::There(transaction) => transaction.run(work, effect).await,
+            RoutedTransaction::Remote(transaction) => transaction.run(work, effect).await,
         }
     }
 
     /// Commits.
     pub async fn commit(self, work: &Work) -> Done {
         match self {
-            PlacedTransaction::Here(transaction) => transaction.commit(work).await,
-            PlacedTransaction::There(transaction) => transaction.commit(work).await,
+            RoutedTransaction::Local(transaction) => transaction.commit(work).await,
+            RoutedTransaction::Remote(transaction) => transaction.commit(work).await,
         }
     }
 
     /// Gives it up; then only its end is taken.
     pub async fn expire(&mut self) {
         match self {
-            PlacedTransaction::Here(transaction) => transaction.expire().await,
-            PlacedTransaction::There(transaction) => transaction.place = None,
+            RoutedTransaction::Local(transaction) => transaction.expire().await,
+            RoutedTransaction::Remote(transaction) => transaction.handle = None,
         }
     }
 }
@@ -136,29 +138,29 @@
 }
 
 /// How the opening at another node ended.
-enum Begun {
+enum BeginOutcome {
     /// It stands open under this number.
     Open(Arc<Link>, u64, Answer),
     /// It was refused, or may stand open where nobody uses it.
     Refused(Answer),
     /// The node has not started it.
-    NotTaken,
+    NotStarted,
 }
 
-async fn begin_there(
+async fn begin_remote(
     unit: &Unit,
     work: &Work,
     read_only: bool,
     home: &PeerNode,
     relayed: bool,
-) -> Begun {
+) -> BeginOutcome {
     let Some(link) = connect(unit, home).await else {
-        return Begun::NotTaken;
+        return BeginOutcome::NotStarted;
     };
     let transaction = link.next_number();
     let call = Call::Begin {
         head: head(unit, relayed),
-        work: CalledWork::from(work),
+        work: WireWork::from(work),
         transaction,
         read_only,
     };
@@ -166,36 +168,36 @@
         UnitOutcome::Answered(answer) => {
             let (answer, _) = answer.into_parts();
             if answer.outcome.is_ok() {
-                Begun::Open(link, transaction, answer)
+                BeginOutcome::Open(link, transaction, answer)
             } else {
-                Begun::Refused(answer)
+                BeginOutcome::Refused(answer)
             }
         }
-        UnitOutcome::NotStarted => Begun::NotTaken,
+        UnitOutcome::NotStarted => BeginOutcome::NotStarted,
         UnitOutcome::Lost => {
             // What may stand open there is dropped; nothing of the client's has run in it.
             link.drop_transaction(transaction);
             unit.note_retry(&work.id, &home.name, "home_silent");
-            Begun::NotTaken
+            BeginOutcome::NotStarted
         }
     }
 }
 
-fn opened(
+fn remote_transaction(
     unit: Unit,
     link: Arc<Link>,
     number: u64,
     home: PeerNode,
     answer: Answer,
-) -> (Answer, Option<PlacedTransaction>) {
+) -> (Answer, Option<RoutedTransaction>) {
     link.open_transaction();
-    let place = Some(RemotePlace {
+    let handle = Some(RemoteHandle {
         link,
         number,
         is_committed: false,
     });
-    let transaction = RemoteTransaction { unit, home, place };
-    (answer, Some(PlacedTransaction::There(transaction)))
+    let transaction = RemoteTransaction { unit, home, handle };
+    (answer, Some(RoutedTransaction::Remote(transaction)))
 }
 
 /// A transaction on a connection of another node.
@@ -204,18 +206,18 @@
     unit: Unit,
     home: PeerNode,
     /// None after it has failed or was given up, when only its end is taken.
-    place: Option<RemotePlace>,
+    handle: Option<RemoteHandle>,
 }
 
 /// A transaction's place at the other node, which drops the transaction when this is dropped.
-struct RemotePlace {
+struct RemoteHandle {
     link: Arc<Link>,
     number: u64,
     /// Whether the other node has ended it.
     is_committed: bool,
 }
 
-impl Drop for RemotePlace {
+impl Drop for RemoteHandle {
     fn drop(&mut self) {
         self.link.close_transaction();
         if !self.is_committed {
@@ -226,7 +228,7 @@
 
 impl RemoteTransaction {
     fn state(&self) -> TransactionState {
-        if self.place.is_some() {
+        if self.handle.is_some() {
             TransactionState::Open
         } else {
             TransactionState::Failed
@@ -234,20 +236,20 @@
     }
 
     async fn run(&mut self, work: &Work, effect: Effect) -> Answer {
-        let Some(place) = self.place.take() else {
+        let Some(handle) = self.handle.take() else {
             return Answer::error(ErrorClass::Malformed, "failed", TransactionState::Failed);
         };
-        let call = Call::Within {
-            transaction: place.number,
+        let call = Call::InTransaction {
+            transaction: handle.number,
             session: session(&self.unit),
-            work: CalledWork::from(work),
+            work: WireWork::from(work),
             effect,
         };
-        match call_within_time(&self.unit, &place.link, call, false).await {
+        match call_within_time(&self.unit, &handle.link, call, false).await {
             UnitOutcome::Answered(answer) => {
                 let (answer, _) = answer.into_parts();
                 if answer.state == TransactionState::Open {
-                    self.place = Some(place);
+                    self.handle = Some(handle);
                 }
                 answer
             }
@@ -261,19 +263,19 @@
     }
 
     async fn commit(mut self, work: &Work) -> Done {
-        let Some(mut place) = self.place.take() else {
+        let Some(mut handle) = self.handle.take() else {
             let text = "the transaction had failed";
             let answer = Answer::error(ErrorClass::Aborted, text, TransactionState::Idle);
             return Done::answer(answer);
         };
         let call = Call::Commit {
-            transaction: place.number,
+            transaction: handle.number,
             session: session(&self.unit),
-            work: CalledWork::from(work),
+            work: WireWork::from(work),
         };
-        match call_within_time(&self.unit, &place.link, call, false).await {
+        match call_within_time(&self.unit, &handle.link, call, false).await {
             UnitOutcome::Answered(answer) => {
-                place.is_committed = true;
+                handle.is_committed = true;
                 Done::of_call(answer)
             }
             UnitOutcome::NotStarted => {
--- a/crates/spurpier-pipeline/src/homes/mod.rs
+++ b/crates/spurpier-pipeline/src/homes/mod.rs
@@ -22,7 +22,7 @@
 pub use self::chosen::{ChosenNodes, Home, PeerNode};
 use self::chosen::{OwnPlace, peer_node};
 use self::fleet::Fleet;
-use crate::forward::{ToldNode, ToldWatchers};
+use crate::forward::{NodeEndpoint, WatcherAssignment};
 use crate::node_entry::{LeaseScope, ListedNode, NodeEntry};
 use crate::quota::Scope;
 use crate::settings::PipelineSettings;
@@ -409,7 +409,7 @@
     }
 
     /// The watchers that a node of a zone is to follow, some of them; none before any is known.
-    pub fn watchers_for(&self, name: &str, zone: &str) -> Option<ToldWatchers> {
+    pub fn watchers_for(&self, name: &str, zone: &str) -> Option<WatcherAssignment> {
         if !*self.is_known.borrow() {
             return None;
         }
@@ -418,7 +418,7 @@
             .is_own
             .then(|| peer_node(&self.own_name, &self.own));
         let mut others: Vec<PeerNode> = watchers.others.iter().cloned().chain(own).collect();
-        let is_caller = others.iter().any(|watcher| watcher.name == name);
+        let is_watcher = others.iter().any(|watcher| watcher.name == name);
         let digest = subject_digest(name);
         others.retain(|watcher| watcher.name != name);
         others.sort_by_cached_key(|watcher| {
@@ -426,13 +426,13 @@
             (watcher.zone != zone, Reverse(rank))
         });
         others.truncate(TOLD_WATCHERS);
-        let nodes = others.into_iter().map(|watcher| ToldNode {
+        let nodes = others.into_iter().map(|watcher| NodeEndpoint {
             name: watcher.name,
             address: watcher.address,
             zone: watcher.zone,
         });
-        Some(ToldWatchers {
-            is_caller,
+        Some(WatcherAssignment {
+            is_watcher,
             nodes: List(nodes.collect()),
         })
     }
--- a/crates/spurpier-pipeline/src/quota/asker.rs
+++ b/crates/spurpier-pipeline/src/quota/asker.rs
@@ -9,7 +9,7 @@
 use super::waiting::{Granted, Wants};
 use super::{LeaveAnswer, LeaveQuestion, Quotas, Scope};
 use crate::context::Context;
-use crate::forward::{Call, Outcome, Reply};
+use crate::forward::{Call, CallOutcome, Reply};
 use crate::homes::PeerNode;
 
 /// How often a node votes for the authority of its zone: twice within the life of a vote.
@@ -137,10 +137,10 @@
             return Asked::Lost;
         };
         let end = context.clock.instant(until);
-        match link.call_until(Call::Leaves(question), end, true).await {
-            Outcome::Replied(Reply::Leaves(answer)) => Asked::Answered(answer),
-            Outcome::Replied(Reply::NotTaken) => Asked::Left,
-            Outcome::Replied(_) | Outcome::NotSent | Outcome::Lost => Asked::Lost,
+        match link.call_until(Call::Permits(question), end, true).await {
+            CallOutcome::Replied(Reply::Permits(answer)) => Asked::Answered(answer),
+            CallOutcome::Replied(Reply::NotStarted) => Asked::Left,
+            CallOutcome::Replied(_) | CallOutcome::NotSent | CallOutcome::Lost => Asked::Lost,
         }
     }
 
--- a/crates/spurpier-pipeline/src/session/state.rs
+++ b/crates/spurpier-pipeline/src/session/state.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 use crate::context::Context;
-use crate::forward::PlacedTransaction;
+use crate::forward::RoutedTransaction;
 use crate::ports::{Effect, KeyDigest, TransactionState};
 use crate::server::Values;
 
@@ -37,7 +37,7 @@
     pub(super) prepared: HashMap<String, Prepared>,
     /// The last commit, and the group in whose log it stands.
     pub(super) own_commit: Option<(String, SessionCommit)>,
-    pub(super) transaction: Option<PlacedTransaction>,
+    pub(super) transaction: Option<RoutedTransaction>,
     /// When the last statement of the open transaction was answered.
     pub(super) rests_since: Instant,
 }
@@ -59,7 +59,7 @@
     /// The state that the client was told last.
     pub fn transaction_state(&self) -> TransactionState {
         let transaction = self.transaction.as_ref();
-        transaction.map_or(TransactionState::Idle, PlacedTransaction::state)
+        transaction.map_or(TransactionState::Idle, RoutedTransaction::state)
     }
 
     /// When the open transaction is ended if it goes on resting.
--- a/crates/spurpier-pipeline/src/session/statements.rs
+++ b/crates/spurpier-pipeline/src/session/statements.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 use super::state::{Prepared, SessionState};
-use crate::forward::{PlacedTransaction, run_single};
+use crate::forward::{RoutedTransaction, run_single};
 use crate::ports::{Answer, Effect, ErrorClass, Request, Statement, TransactionState};
 use crate::quota::{self, OperationLeave, Refused};
 use crate::tenant::Denied;
@@ -124,7 +124,7 @@
             Ok(leave) => leave,
             Err(answer) => return answer,
         };
-        let (answer, transaction) = PlacedTransaction::begin(unit, &work, read_only).await;
+        let (answer, transaction) = RoutedTransaction::begin(unit, &work, read_only).await;
         self.settle_leave(leave, &answer);
         self.transaction = transaction;
         answer
--- a/crates/spurpier-pipeline/src/unit/mod.rs
+++ b/crates/spurpier-pipeline/src/unit/mod.rs
@@ -34,7 +34,7 @@
 
 use crate::context::Context;
 use crate::events;
-use crate::forward::{CalledAnswer, millis};
+use crate::forward::{WireAnswer, millis};
 use crate::group::Group;
 use crate::homes::PeerNode;
 use crate::places::{Bar, NoLeave};
@@ -151,7 +151,7 @@
     }
 
     /// What another node has replied.
-    pub fn of_call(answer: CalledAnswer) -> Self {
+    pub fn of_call(answer: WireAnswer) -> Self {
         let (answer, committed) = answer.into_parts();
         Done { answer, committed }
     }
--- a/crates/spurpier-pipeline/tests/fleet_spread.rs
+++ b/crates/spurpier-pipeline/tests/fleet_spread.rs
@@ -87,7 +87,7 @@
         for number in 0..size {
             let told = homes.watchers_for(&name(number), &zone(number));
             let told = told.expect("the list is known");
-            if told.is_caller {
+            if told.is_watcher {
                 watchers += 1;
                 continue;
             }
