--- a/crates/spurpier-pipeline/src/forward/caller.rs
+++ b/crates/spurpier-pipeline/src/forward/caller.rs
@@ -1,36 +1,39 @@
-//! Running a session's units: here, or at a home of their group.
+//! Runs a session's units on this node or at a home of their group.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::link::{Link, Outcome};
+use super::link::{CallOutcome, Link};
 use super::messages::{
-    Call, CallHead, CalledAnswer, CalledCaller, CalledSession, CalledWork, Reply, millis,
+    Call, CallHead, Reply, WireAnswer, WireCaller, WireSession, WireWork, millis,
 };
 use crate::configuration::region_names;
 use crate::homes::{Home, PeerNode};
 use crate::ports::{Effect, ErrorClass};
 use crate::unit::{ClientStatement, NotRun, Unit, UnitResult};
 
-/// How much longer than the unit itself its caller waits for the reply.
+/// How long past the unit's deadline the caller waits for the reply.
 const REPLY_SLACK: Duration = Duration::from_millis(60);
 
-/// Runs a statement outside a transaction where its group's connections are.
+/// Runs a statement outside a transaction at a home of its group: the first candidate that replies,
+/// or else this node.
+///
+/// A read whose reply is lost is tried at the next home; a lost write is answered as in doubt.
 pub async fn run_single(unit: &Unit, work: &ClientStatement, effect: Effect) -> UnitResult {
     unit.count_demand(effect);
     if let Some(bar) = unit.bar_on_all_servers(effect) {
         return UnitResult::answer(unit.refuse(&work.id, NotRun::Barred(bar)));
     }
-    await_list(unit).await;
+    await_node_list(unit).await;
     let mut was_lost = false;
-    for home in usable(unit, unit.needs_leader(effect)) {
+    for home in candidate_homes(unit, unit.needs_leader(effect)) {
         let Home::Peer(home) = home else {
             return run_at_home(unit, work, effect).await;
         };
         let Some(link) = connect(unit, &home).await else {
             continue;
         };
-        let call = single(unit, work, effect, false);
+        let call = single_call(unit, work, effect, false);
         match call_within_time(unit, &link, call, effect == Effect::Read).await {
             UnitOutcome::Answered(answer) => return UnitResult::from_forwarded(answer),
             UnitOutcome::NotStarted => {}
@@ -61,18 +64,19 @@
     run_at_home(unit, work, effect).await
 }
 
-/// Waits until this node knows the other nodes, as right after its start.
-pub(super) async fn await_list(unit: &Unit) {
+/// Waits until this node has read the list of nodes, which it lacks right after its start.
+pub(super) async fn await_node_list(unit: &Unit) {
     let limit = unit.context.clock.instant(unit.deadlines.wait_until);
     unit.context.homes.await_list(limit).await;
 }
 
-/// Runs a statement on this node's connections, or at another home that is better off.
+/// Runs a statement on this node's connections, or relays it to another home that is better able
+/// to run it. A relayed write whose reply is lost is answered as in doubt; a lost read runs here.
 pub(super) async fn run_at_home(unit: &Unit, work: &ClientStatement, effect: Effect) -> UnitResult {
     if let Some(relay) = unit.preferred_home(effect)
         && let Some(link) = connect(unit, &relay).await
     {
-        let call = single(unit, work, effect, true);
+        let call = single_call(unit, work, effect, true);
         match call_within_time(unit, &link, call, effect == Effect::Read).await {
             UnitOutcome::Answered(answer) => return UnitResult::from_forwarded(answer),
             UnitOutcome::NotStarted => {}
@@ -89,9 +93,10 @@
     unit.run_locally(work, effect).await
 }
 
-/// The homes that may be given the unit and have not just failed to answer, in the order in which
-/// they are tried. This node, to which the client is connected, knows the unit wherever it stands.
-pub(super) fn usable(unit: &Unit, needs_leader: bool) -> Vec<Home> {
+/// The homes that the unit may be forwarded to and that are not suspected or unreachable, in the
+/// order in which they are tried. This node always qualifies: its client is connected to it, so it
+/// knows the unit in any case.
+pub(super) fn candidate_homes(unit: &Unit, needs_leader: bool) -> Vec<Home> {
     let context = &unit.context;
     let homes = context.homes_of(&unit.group.name);
     let mut homes = match &unit.caller.tenant {
@@ -109,6 +114,7 @@
     homes
 }
 
+/// The connection to a home; none if it cannot be reached while the unit may still wait.
 pub(super) async fn connect(unit: &Unit, home: &PeerNode) -> Option<Arc<Link>> {
     let context = &unit.context;
     let until = unit.deadlines.wait_until;
@@ -118,14 +124,15 @@
         .await
 }
 
-fn single(unit: &Unit, work: &ClientStatement, effect: Effect, relayed: bool) -> Call {
+fn single_call(unit: &Unit, work: &ClientStatement, effect: Effect, relayed: bool) -> Call {
     Call::Single {
         head: head(unit, relayed),
-        work: CalledWork::from(work),
+        work: WireWork::from(work),
         effect,
     }
 }
 
+/// The header of a call that opens a unit at another node.
 pub(super) fn head(unit: &Unit, relayed: bool) -> CallHead {
     let route = &unit.route;
     CallHead {
@@ -134,7 +141,7 @@
         freshness: route.freshness.into(),
         timeout_ms: millis(route.timeout),
         target_ms: millis(route.target),
-        caller: CalledCaller::from(&unit.caller),
+        caller: WireCaller::from(&unit.caller),
         allowed_regions: region_names(&unit.allowed_regions),
         configuration: unit.configuration,
         own_commit: unit.own_commit.map(|commit| commit.position),
@@ -143,23 +150,24 @@
     }
 }
 
-pub(super) fn session(unit: &Unit) -> CalledSession {
+/// The session's state as of now, for a call.
+pub(super) fn session(unit: &Unit) -> WireSession {
     let waited = unit.deadlines.waited(unit.context.clock.now());
-    CalledSession::new(waited, &unit.values)
+    WireSession::new(waited, &unit.values)
 }
 
 /// How a unit's call ended.
 pub(super) enum UnitOutcome {
-    /// With its answer.
-    Answered(CalledAnswer),
-    /// The other node has not started it and never will.
+    /// The other node answered it.
+    Answered(WireAnswer),
+    /// The other node has not started it and will not.
     NotStarted,
-    /// Without an answer; it may have been run, or may be run yet.
+    /// No answer came; it may have run or may still run.
     Lost,
 }
 
-/// Makes a call and waits for its reply until the unit's time is over; a call that may be made
-/// elsewhere is given up as soon as the other node is suspected to have stopped.
+/// Makes a call and waits for its reply until shortly after the unit's deadline. With `may_repeat`,
+/// the wait also ends as soon as the other node is suspected to have stopped.
 pub(super) async fn call_within_time(
     unit: &Unit,
     link: &Link,
@@ -170,10 +178,10 @@
     let end = unit.deadlines.run_until + REPLY_SLACK;
     let end = unit.context.clock.instant(end);
     match link.call_until(call, end, may_repeat).await {
-        Outcome::Replied(Reply::Answered(answer)) => UnitOutcome::Answered(answer),
-        Outcome::Replied(Reply::NotTaken) | Outcome::NotSent => UnitOutcome::NotStarted,
-        // A reply that is none for a unit says nothing of it.
-        Outcome::Replied(Reply::News(_) | Reply::Leaves(_) | Reply::Watchers(_))
-        | Outcome::Lost => UnitOutcome::Lost,
+        CallOutcome::Replied(Reply::Answered(answer)) => UnitOutcome::Answered(answer),
+        CallOutcome::Replied(Reply::NotStarted) | CallOutcome::NotSent => UnitOutcome::NotStarted,
+        // A reply of another kind leaves the unit's outcome unknown.
+        CallOutcome::Replied(Reply::TableUpdates(_) | Reply::Permits(_) | Reply::Watchers(_))
+        | CallOutcome::Lost => UnitOutcome::Lost,
     }
 }
--- a/crates/spurpier-pipeline/src/forward/link.rs
+++ b/crates/spurpier-pipeline/src/forward/link.rs
@@ -1,4 +1,4 @@
-//! The caller's side of one connection to another node.
+//! The caller's side of one connection to another node, which multiplexes calls.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,69 +16,72 @@
 use super::stream::{MessageReader, prepare_socket, write_messages};
 use crate::progress::{Progress, STALLED_AFTER, while_moving};
 
-/// How long opening a connection may take.
-const CONNECT_LIMIT: Duration = Duration::from_millis(400);
-/// How often the other node is asked whether it runs, while calls or transactions are open.
+/// The timeout for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// How often the other node is pinged while calls or transactions are open.
 const PING_INTERVAL: Duration = Duration::from_millis(150);
-/// After so long without a byte behind a message of ours, the node is passed over for new calls.
+/// The silence after a sent message from which the node is suspected and gets no new calls.
 const SUSPECT_AFTER: Duration = STALLED_AFTER;
-/// After so long without a byte behind a message of ours, the connection is given up.
+/// The silence after a sent message from which the connection is closed.
 const LOST_AFTER: Duration = Duration::from_millis(2_000);
-/// After so long without calls and transactions the connection is closed.
-const IDLE_LIMIT: Duration = Duration::from_secs(20);
-/// Messages that may wait to be written.
-const WRITE_CAPACITY: usize = 1_024;
+/// How long a connection stays open without calls and transactions.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// The capacity of the write queue, in messages.
+const WRITE_QUEUE_CAPACITY: usize = 1_024;
 
-/// How often a caller looks whether the other node still runs.
-const LOOK: Duration = Duration::from_millis(100);
+/// How often a waiting caller checks whether the other node is suspected.
+const SUSPECT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How a call ended.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Outcome {
-    /// With a reply.
+pub enum CallOutcome {
+    /// The other node replied.
     Replied(Reply),
-    /// It was not sent.
+    /// The call was not sent.
     NotSent,
-    /// Without a reply; it may have been run, or may be run yet.
+    /// No reply came; the call may have run or may still run.
     Lost,
 }
 
 #[derive(Debug, Default)]
 struct Pending {
+    /// Where the replies go, by the numbers of the calls.
     calls: HashMap<u64, oneshot::Sender<Reply>>,
-    /// Transactions that are open on the other node.
+    /// The number of transactions that are open on the other node.
     transactions: usize,
+    /// Whether the connection has ended, so that no new call is accepted.
     closed: bool,
 }
 
-/// A connection to another node that runs calls.
+/// A connection to another node that runs this node's calls.
 #[derive(Debug)]
 pub struct Link {
     writer: mpsc::Sender<LinkMessage>,
     pending: Mutex<Pending>,
     next_number: AtomicU64,
-    /// Since when a message has been sent and nothing has come; none while the node answers.
+    /// When the first message was sent since the node was last heard from; none while nothing is
+    /// unanswered.
     unanswered_since: Mutex<Option<Instant>>,
-    /// What comes of messages that are not whole yet.
-    parts: Progress,
+    /// Tracks the bytes of incomplete messages.
+    partial: Progress,
     closed: CancellationToken,
 }
 
 impl Link {
-    /// Opens a connection; none if the node cannot be reached.
+    /// Opens a connection and starts its tasks; none if the node cannot be reached in time.
     pub async fn connect(address: SocketAddr) -> Option<Arc<Self>> {
-        let stream = timeout(CONNECT_LIMIT, TcpStream::connect(address)).await;
+        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let stream = stream.ok()?.ok()?;
         prepare_socket(&stream).ok()?;
         let (reader, output) = stream.into_split();
-        let (writer, queue) = mpsc::channel(WRITE_CAPACITY);
+        let (writer, queue) = mpsc::channel(WRITE_QUEUE_CAPACITY);
         writer.try_send(LinkMessage::Hello(VERSION)).ok()?;
         let link = Arc::new(Link {
             writer,
             pending: Mutex::default(),
             next_number: AtomicU64::new(1),
             unanswered_since: Mutex::new(None),
-            parts: Progress::new(),
+            partial: Progress::new(),
             closed: CancellationToken::new(),
         });
         tokio::spawn(write_messages(output, queue, link.closed.clone()));
@@ -91,109 +94,114 @@
         self.closed.cancel();
     }
 
-    /// Whether calls can be made.
+    /// Whether the connection has not been closed.
     pub fn is_open(&self) -> bool {
         !self.closed.is_cancelled()
     }
 
-    /// Whether the node has left pings without an answer for a while.
+    /// Whether the connection is closed, or the node has sent nothing for a while (400 ms) since a
+    /// message was sent to it.
     pub fn is_suspect(&self) -> bool {
         !self.is_open() || self.silent_for() >= SUSPECT_AFTER
     }
 
-    /// How many bytes have come that left a message unfinished.
-    pub fn part_bytes(&self) -> u64 {
-        self.parts.bytes()
+    /// The total number of bytes received that left a message incomplete.
+    pub fn partial_bytes(&self) -> u64 {
+        self.partial.bytes()
     }
 
-    /// A number for a transaction, unique on this connection.
+    /// A number for a call or a transaction, unique on this connection.
     pub fn next_number(&self) -> u64 {
         self.next_number.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Makes a call and waits for its reply until `end`; a call that may be made elsewhere is given
-    /// up as soon as the other node is suspected to have stopped.
-    pub async fn call_until(&self, call: Call, end: Instant, may_repeat: bool) -> Outcome {
+    /// Makes a call and waits for its reply until `end`. With `may_repeat`, the wait also ends as
+    /// soon as the other node is suspected to have stopped, so that the call can go elsewhere.
+    pub async fn call_until(&self, call: Call, end: Instant, may_repeat: bool) -> CallOutcome {
         tokio::select! {
             biased;
             outcome = self.call(call) => outcome,
-            () = sleep_until(end) => Outcome::Lost,
-            () = self.suspected(), if may_repeat => Outcome::Lost,
+            () = sleep_until(end) => CallOutcome::Lost,
+            () = self.suspected(), if may_repeat => CallOutcome::Lost,
         }
     }
 
-    /// Asks for what may take long to come: waits until `end`, and longer while a message comes.
-    pub async fn call_while_moving(&self, call: Call, end: Instant) -> Outcome {
+    /// Makes a call whose reply may be large: waits until `end`, and longer while bytes of a
+    /// message keep arriving. The wait also ends when the other node is suspected to have stopped.
+    pub async fn call_while_moving(&self, call: Call, end: Instant) -> CallOutcome {
         tokio::select! {
             biased;
-            outcome = while_moving(self.call(call), &self.parts, end) => {
-                outcome.unwrap_or(Outcome::Lost)
+            outcome = while_moving(self.call(call), &self.partial, end) => {
+                outcome.unwrap_or(CallOutcome::Lost)
             }
-            () = self.suspected() => Outcome::Lost,
+            () = self.suspected() => CallOutcome::Lost,
         }
     }
 
-    /// Returns when the other node is suspected to have stopped.
+    /// Completes when the other node is suspected to have stopped.
     async fn suspected(&self) {
         while !self.is_suspect() {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(SUSPECT_CHECK_INTERVAL).await;
         }
     }
 
-    /// Makes a call. Dropping the future tells the other node that nobody awaits it.
-    async fn call(&self, call: Call) -> Outcome {
+    /// Makes a call. Dropping the future cancels the call at the other node.
+    async fn call(&self, call: Call) -> CallOutcome {
         let number = self.next_number();
         let (sender, reply) = oneshot::channel();
         {
             let mut pending = self.pending();
             if pending.closed {
-                return Outcome::NotSent;
+                return CallOutcome::NotSent;
             }
             pending.calls.insert(number, sender);
         }
-        let _awaited = Awaited { link: self, number };
+        let _cancel_on_drop = CancelOnDrop { link: self, number };
         let message = LinkMessage::Call { number, call };
         if self.writer.try_send(message).is_err() {
-            return Outcome::NotSent;
+            return CallOutcome::NotSent;
         }
-        self.note_sent();
-        reply.await.map_or(Outcome::Lost, Outcome::Replied)
+        self.record_sent();
+        reply.await.map_or(CallOutcome::Lost, CallOutcome::Replied)
     }
 
-    /// Counts a transaction that has been opened on the other node.
+    /// Counts a transaction opened on the other node, which keeps the connection from being closed
+    /// as idle.
     pub fn open_transaction(&self) {
         self.pending().transactions += 1;
     }
 
-    /// Counts a transaction that is not open any more.
+    /// Counts a transaction of the other node as ended.
     pub fn close_transaction(&self) {
         let mut pending = self.pending();
         pending.transactions = pending.transactions.saturating_sub(1);
     }
 
-    /// Has the other node drop a transaction, if it still has it.
+    /// Asks the other node to drop a transaction if it still holds it. Closes the connection if the
+    /// message cannot be queued.
     pub fn drop_transaction(&self, number: u64) {
-        let told = self.writer.try_send(LinkMessage::EndTransaction(number));
-        // The end of the connection ends all its transactions.
-        if told.is_err() {
+        let sent = self.writer.try_send(LinkMessage::EndTransaction(number));
+        // The other node drops all transactions of a closed connection.
+        if sent.is_err() {
             self.closed.cancel();
         }
     }
 
-    fn note_sent(&self) {
+    fn record_sent(&self) {
         self.unanswered().get_or_insert_with(Instant::now);
     }
 
-    fn note_part(&self, length: usize) {
-        self.parts.note(length);
-        self.note_heard();
+    fn record_partial(&self, length: usize) {
+        self.partial.note(length);
+        self.record_received();
     }
 
-    fn note_heard(&self) {
+    fn record_received(&self) {
         *self.unanswered() = None;
     }
 
-    /// For how long the node has left all messages without an answer.
+    /// How long the node has sent nothing since the first unanswered message; zero if none is
+    /// unanswered.
     fn silent_for(&self) -> Duration {
         let since = *self.unanswered();
         since.map_or(Duration::ZERO, |since| since.elapsed())
@@ -222,23 +230,23 @@
         self.closed.cancel();
         let mut pending = self.pending();
         pending.closed = true;
-        // Each caller learns of the loss by the end of its channel.
+        // Dropping the senders ends each caller's wait.
         pending.calls.clear();
     }
 
     async fn read(&self, mut reader: MessageReader) {
-        while let Some(message) = reader.next_with(|length| self.note_part(length)).await {
-            self.note_heard();
+        while let Some(message) = reader.next_with(|length| self.record_partial(length)).await {
+            self.record_received();
             match message {
                 LinkMessage::Reply { number, reply } => {
-                    if matches!(&reply, Reply::News(news) if news.is_large()) {
-                        // Told before the news are taken in, which may take long on a slow node. A
-                        // turn whose end cannot be told ends by itself.
-                        let _ = self.writer.try_send(LinkMessage::NewsCame(number));
+                    if matches!(&reply, Reply::TableUpdates(updates) if updates.is_large()) {
+                        // Sent before the updates are applied, which may take long on a slow node.
+                        // If the queue is full, the transfer slot at the other node times out.
+                        let _ = self.writer.try_send(LinkMessage::UpdatesReceived(number));
                     }
                     let caller = self.pending().calls.remove(&number);
                     if let Some(caller) = caller {
-                        // A caller that is gone needs no reply.
+                        // The send fails only if the caller no longer waits.
                         let _ = caller.send(reply);
                     }
                 }
@@ -248,7 +256,8 @@
         }
     }
 
-    /// Returns when the other node stays silent, or the connection is not used for long.
+    /// Pings the other node while the connection is used or a message is unanswered. Returns when
+    /// the node has been silent, or the connection unused, for too long.
     async fn keep_alive(&self) {
         let mut used_at = Instant::now();
         loop {
@@ -259,27 +268,27 @@
             }
             if self.is_used() || silent_for > Duration::ZERO {
                 used_at = Instant::now();
-                // A full queue holds enough that the node must answer.
+                // If the queue is full, the messages in it call for an answer as well.
                 let _ = self.writer.try_send(LinkMessage::Ping);
-                self.note_sent();
-            } else if used_at.elapsed() >= IDLE_LIMIT {
+                self.record_sent();
+            } else if used_at.elapsed() >= IDLE_TIMEOUT {
                 return;
             }
         }
     }
 }
 
-/// A call whose reply is awaited; the other node is told when it is dropped before.
-struct Awaited<'a> {
+/// Cancels a call at the other node when dropped before the reply has come.
+struct CancelOnDrop<'a> {
     link: &'a Link,
     number: u64,
 }
 
-impl Drop for Awaited<'_> {
+impl Drop for CancelOnDrop<'_> {
     fn drop(&mut self) {
         let was_waiting = self.link.pending().calls.remove(&self.number).is_some();
         if was_waiting {
-            // If it cannot be told, the connection is lost or about to be.
+            // The send fails only if the connection is lost, or about to be as its queue is full.
             let _ = self.link.writer.try_send(LinkMessage::Cancel(self.number));
         }
     }
--- a/crates/spurpier-pipeline/src/forward/messages.rs
+++ b/crates/spurpier-pipeline/src/forward/messages.rs
@@ -1,8 +1,9 @@
-//! What nodes say to each other about forwarded units, over TCP.
+//! The messages between nodes over TCP: forwarded units, requests for quota permits, and updates of
+//! the store's tables.
 //!
 //! The node that opens the connection is the caller: it numbers its calls and its transactions.
-//! The other one runs them and replies, in any order. Times are told as lengths, never as moments,
-//! since nodes share no clock.
+//! The other node, the runner, runs them and replies in any order. Times are sent as durations,
+//! never as timestamps, since nodes share no clock.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,41 +27,41 @@
 use crate::tenant::Caller;
 use crate::unit::{ClientStatement, PreparedExecution};
 
-/// The version of the messages; nodes of different versions do not forward to each other.
+/// The protocol version; nodes with different versions do not forward to each other.
 pub const VERSION: u16 = 8;
 
 /// A message between a caller and the node that runs its calls.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
 pub enum LinkMessage {
-    /// Caller: the first message, with its [`VERSION`].
+    /// Caller: the first message, with the caller's [`VERSION`].
     Hello(u16),
-    /// Caller: runs a statement.
+    /// Caller: makes a call.
     Call {
         /// The call's number.
         number: u64,
-        /// What is run.
+        /// The call.
         call: Call,
     },
-    /// Caller: nobody awaits the call any more.
+    /// Caller: cancels a call whose reply is no longer awaited.
     Cancel(u64),
-    /// Caller: much news of a table, the reply to this call, have come whole.
-    NewsCame(u64),
-    /// Caller: drops a transaction; there is no reply.
+    /// Caller: the reply to this call, a large set of table updates, has been received whole.
+    UpdatesReceived(u64),
+    /// Caller: drops the transaction with this number; there is no reply.
     EndTransaction(u64),
-    /// Runner: how a call ended.
+    /// Runner: replies to a call.
     Reply {
         /// The call's number.
         number: u64,
-        /// How it ended.
+        /// The reply.
         reply: Reply,
     },
-    /// Caller: asks for a `Pong`.
+    /// Caller: asks for a `Pong`, to check that the runner is alive.
     Ping,
     /// Runner: answers a `Ping`.
     Pong,
 }
 
-/// A statement to run.
+/// A request from the caller to the runner.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
 pub enum Call {
     /// A statement outside a transaction.
@@ -68,7 +69,7 @@
         /// Where and how it runs.
         head: CallHead,
         /// The statement.
-        work: CalledWork,
+        work: WireWork,
         /// What it does.
         effect: Effect,
     },
@@ -77,107 +78,107 @@
         /// Where and how it runs.
         head: CallHead,
         /// The opening statement.
-        work: CalledWork,
+        work: WireWork,
         /// The caller's number for the transaction.
         transaction: u64,
         /// Whether it may only read.
         read_only: bool,
     },
     /// A statement in a transaction.
-    Within {
+    InTransaction {
         /// The transaction.
         transaction: u64,
         /// The session's state.
-        session: CalledSession,
+        session: WireSession,
         /// The statement.
-        work: CalledWork,
+        work: WireWork,
         /// What it does.
         effect: Effect,
     },
-    /// Keeps a transaction.
+    /// Commits a transaction.
     Commit {
         /// The transaction.
         transaction: u64,
         /// The session's state.
-        session: CalledSession,
+        session: WireSession,
         /// The statement.
-        work: CalledWork,
+        work: WireWork,
     },
-    /// Asks for leave to start operations of tenants.
-    Leaves(LeaveQuestion),
-    /// Asks a node whose address the settings name which nodes to follow.
+    /// Asks for permits to start operations of tenants.
+    Permits(LeaveQuestion),
+    /// Asks a seed node, whose address the settings name, which nodes to follow for table updates.
     Watchers {
         /// The caller's name.
         name: LongText,
         /// The caller's zone.
         zone: LongText,
-        /// For how long the runner waits until it knows, in milliseconds.
+        /// How long the runner may wait until it has read the list of nodes, in milliseconds.
         wait_ms: u32,
     },
-    /// Asks what the runner knows of a table of the store.
+    /// Asks for the updates of a table of the store that the runner knows of.
     Follow {
         /// The table's number.
         table: u8,
-        /// The store's version up to which the caller knows the table; none if it knows nothing.
+        /// The store version up to which the caller knows the table; none if it knows nothing.
         version: Option<StoreVersion>,
-        /// For how long the runner waits for news, in milliseconds.
+        /// How long the runner waits for updates, in milliseconds.
         wait_ms: u32,
     },
 }
 
-/// Where and how a unit runs: what its runner must know of the route.
+/// Where and how a unit runs: the part of its route that the runner needs.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
 pub struct CallHead {
     /// The database that the client named.
     pub database: String,
-    /// The group.
+    /// The name of the group.
     pub group: String,
-    /// How fresh its reads must be.
-    pub freshness: CalledFreshness,
+    /// How fresh the unit's reads must be.
+    pub freshness: WireFreshness,
     /// How long a statement may take, in milliseconds.
     pub timeout_ms: u32,
-    /// Within what an operation should be answered, in milliseconds.
+    /// The target latency of an operation, in milliseconds.
     pub target_ms: u32,
-    /// Whom it is run for.
-    pub caller: CalledCaller,
-    /// Where it may run; none if anywhere.
+    /// The client that it runs for.
+    pub caller: WireCaller,
+    /// The regions in which it may run; none if in any.
     pub allowed_regions: Option<List<LongText>>,
-    /// The version of the configuration that has the route and the caller's key.
+    /// The version of the configuration from which the route and the caller's key were taken.
     pub configuration: u64,
     /// The position of the session's last commit in the group.
     pub own_commit: Option<Position>,
     /// The session's state.
-    pub session: CalledSession,
-    /// Whether the unit was handed on by a home that has no way to the lead; it is not handed on
-    /// again.
+    pub session: WireSession,
+    /// Whether the unit was relayed by a home, such as one that cannot reach the leader; it is not
+    /// relayed again.
     pub relayed: bool,
 }
 
-/// [`Caller`] as a message carries it.
+/// The wire form of [`Caller`].
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
-pub struct CalledCaller {
+pub struct WireCaller {
     tenant: Option<String>,
     key: Option<KeyDigest>,
 }
 
-impl CalledCaller {
-    /// Whether it is not told apart from others.
+impl WireCaller {
+    /// Whether the client belongs to no named tenant.
     pub fn is_unnamed(&self) -> bool {
         self.tenant.is_none()
     }
 }
 
-impl From<&Caller> for CalledCaller {
+impl From<&Caller> for WireCaller {
     fn from(caller: &Caller) -> Self {
-        CalledCaller {
+        WireCaller {
             tenant: caller.tenant.as_deref().map(str::to_owned),
             key: caller.key,
         }
     }
 }
 
-impl From<CalledCaller> for Caller {
-    fn from(caller: CalledCaller) -> Self {
+impl From<WireCaller> for Caller {
+    fn from(caller: WireCaller) -> Self {
         Caller {
             tenant: caller.tenant.map(Arc::from),
             key: caller.key,
@@ -185,77 +186,78 @@
     }
 }
 
-/// What a runner must know of the session.
+/// The state of a session that the runner needs.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
-pub struct CalledSession {
+pub struct WireSession {
     /// How long the statement has waited at the caller, in milliseconds.
     pub waited_ms: u32,
-    /// The session's values: names and values in turn.
+    /// The session's settings, as alternating names and values.
     pub values: List<String>,
 }
 
-/// [`FreshnessKind`] as a message carries it; staleness in milliseconds.
+/// The wire form of [`FreshnessKind`]; staleness is in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, SerBin, DeBin)]
-pub enum CalledFreshness {
-    /// `Latest`.
+pub enum WireFreshness {
+    /// [`FreshnessKind::Latest`].
     Latest,
-    /// `Bounded`.
+    /// [`FreshnessKind::Bounded`].
     Bounded(u32),
-    /// `OwnWrites`.
+    /// [`FreshnessKind::OwnWrites`].
     OwnWrites(u32),
 }
 
-/// [`ClientStatement`] as a message carries it.
+/// The wire form of [`ClientStatement`].
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
-pub struct CalledWork {
+pub struct WireWork {
     id: LongText,
     text: LongText,
-    prepared: Option<CalledPrepared>,
+    prepared: Option<WirePrepared>,
 }
 
+/// The wire form of [`PreparedUse`].
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
-struct CalledPrepared {
+struct WirePrepared {
     effect: Effect,
     shape: LongText,
     arguments: LongText,
 }
 
-/// How a call ended.
+/// The runner's reply to a call.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
 pub enum Reply {
-    /// The runner has not started it.
-    NotTaken,
-    /// Its answer.
-    Answered(CalledAnswer),
-    /// What is known of a table, and what of it is new.
-    News(News),
-    /// How many operations may start.
-    Leaves(LeaveAnswer),
-    /// Which nodes to follow.
-    Watchers(ToldWatchers),
+    /// The runner has not started the call and will not.
+    NotStarted,
+    /// The answer to a statement.
+    Answered(WireAnswer),
+    /// What the runner knows of a table, with the rows that the caller lacks.
+    TableUpdates(News),
+    /// The answer to a request for permits.
+    Permits(LeaveAnswer),
+    /// The nodes to follow.
+    Watchers(WatcherAssignment),
 }
 
-/// The nodes that a starting node is to follow.
+/// Tells a starting node how it gets table updates: from the store itself, or from other nodes.
 #[derive(Debug, Clone, PartialEq, Eq, SerBin, DeBin)]
-pub struct ToldWatchers {
-    /// Whether it is to follow the store itself.
-    pub is_caller: bool,
-    /// Some of the others, those to ask first before.
-    pub nodes: List<ToldNode>,
+pub struct WatcherAssignment {
+    /// Whether it is one of the watchers, which follow the store itself.
+    pub is_watcher: bool,
+    /// Watchers among the other nodes, in the order in which to ask them; not always all of them.
+    pub nodes: List<NodeEndpoint>,
 }
 
-/// A node as a message names it.
+/// The name, the address and the zone of a node.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ToldNode {
+pub struct NodeEndpoint {
     /// Its name.
     pub name: String,
-    /// Where it is reached.
+    /// The address of its listener for other nodes.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: String,
 }
 
-impl SerBin for ToldNode {
+impl SerBin for NodeEndpoint {
     fn ser_bin(&self, output: &mut Vec<u8>) {
         encode_text(&self.name, output);
         encode_address(self.address, output);
@@ -263,9 +265,9 @@
     }
 }
 
-impl DeBin for ToldNode {
+impl DeBin for NodeEndpoint {
     fn de_bin(offset: &mut usize, bytes: &[u8]) -> Result<Self, DeBinErr> {
-        Ok(ToldNode {
+        Ok(NodeEndpoint {
             name: decode_text(offset, bytes)?.to_owned(),
             address: decode_address(offset, bytes)?,
             zone: decode_text(offset, bytes)?.to_owned(),
@@ -273,13 +275,13 @@
     }
 }
 
-/// [`Answer`] as a message carries it, and what it commits.
+/// The wire form of [`Answer`], with the position of the commit that it acknowledges.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
-pub struct CalledAnswer {
+pub struct WireAnswer {
     rows: List<Blob>,
     /// The signature of a success.
     signature: Option<Blob>,
-    /// Set if it failed.
+    /// The class of the error; none for a success.
     error: Option<ErrorClass>,
     error_text: LongText,
     state: TransactionState,
@@ -287,7 +289,7 @@
     committed: Option<Position>,
 }
 
-/// Bytes of any length.
+/// A byte string of any length.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Blob(Bytes);
 
@@ -303,47 +305,47 @@
     }
 }
 
-/// A length of time in whole milliseconds, as messages carry it.
+/// A duration in whole milliseconds, for a message; `u32::MAX` if it is longer.
 pub fn millis(time: Duration) -> u32 {
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
-/// A length of time that a message carries.
+/// The duration of a number of milliseconds from a message.
 pub fn duration(millis: u32) -> Duration {
     Duration::from_millis(u64::from(millis))
 }
 
-impl From<FreshnessKind> for CalledFreshness {
+impl From<FreshnessKind> for WireFreshness {
     fn from(kind: FreshnessKind) -> Self {
         match kind {
-            FreshnessKind::Latest => CalledFreshness::Latest,
-            FreshnessKind::Bounded(staleness) => CalledFreshness::Bounded(millis(staleness)),
-            FreshnessKind::OwnWrites(staleness) => CalledFreshness::OwnWrites(millis(staleness)),
+            FreshnessKind::Latest => WireFreshness::Latest,
+            FreshnessKind::Bounded(staleness) => WireFreshness::Bounded(millis(staleness)),
+            FreshnessKind::OwnWrites(staleness) => WireFreshness::OwnWrites(millis(staleness)),
         }
     }
 }
 
-impl From<CalledFreshness> for FreshnessKind {
-    fn from(kind: CalledFreshness) -> Self {
+impl From<WireFreshness> for FreshnessKind {
+    fn from(kind: WireFreshness) -> Self {
         match kind {
-            CalledFreshness::Latest => FreshnessKind::Latest,
-            CalledFreshness::Bounded(staleness) => FreshnessKind::Bounded(duration(staleness)),
-            CalledFreshness::OwnWrites(staleness) => FreshnessKind::OwnWrites(duration(staleness)),
+            WireFreshness::Latest => FreshnessKind::Latest,
+            WireFreshness::Bounded(staleness) => FreshnessKind::Bounded(duration(staleness)),
+            WireFreshness::OwnWrites(staleness) => FreshnessKind::OwnWrites(duration(staleness)),
         }
     }
 }
 
-impl CalledSession {
-    /// The state of a session whose statement has waited for so long.
+impl WireSession {
+    /// The state of a session with these settings, whose statement has waited for `waited`.
     pub fn new(waited: Duration, values: &Values) -> Self {
         let texts = values.iter().flat_map(|(name, value)| [name, value]);
-        CalledSession {
+        WireSession {
             waited_ms: millis(waited),
             values: List(texts.cloned().collect()),
         }
     }
 
-    /// The session's values.
+    /// The session's settings as pairs of name and value.
     pub fn session_values(&self) -> Values {
         let pairs = self.values.0.chunks_exact(2);
         pairs
@@ -352,14 +354,14 @@
     }
 }
 
-impl From<&ClientStatement> for CalledWork {
+impl From<&ClientStatement> for WireWork {
     fn from(work: &ClientStatement) -> Self {
-        let prepared = work.prepared.as_ref().map(|prepared| CalledPrepared {
+        let prepared = work.prepared.as_ref().map(|prepared| WirePrepared {
             effect: prepared.effect,
             shape: LongText(prepared.shape.clone()),
             arguments: LongText(prepared.arguments.clone()),
         });
-        CalledWork {
+        WireWork {
             id: LongText(work.id.clone()),
             text: LongText(work.text.clone()),
             prepared,
@@ -367,8 +369,8 @@
     }
 }
 
-impl From<CalledWork> for ClientStatement {
-    fn from(work: CalledWork) -> Self {
+impl From<WireWork> for ClientStatement {
+    fn from(work: WireWork) -> Self {
         let (id, text) = (work.id.0, work.text.0);
         match work.prepared {
             None => ClientStatement::plain(id, text),
@@ -385,14 +387,14 @@
     }
 }
 
-impl CalledAnswer {
-    /// An answer, and the position of the commit that it acknowledges.
+impl WireAnswer {
+    /// Builds the wire form of an answer and the position of the commit that it acknowledges.
     pub fn new(answer: Answer, committed: Option<Position>) -> Self {
         let (signature, error, error_text) = match answer.outcome {
             Ok(completion) => (completion.signature.map(Blob), None, String::new()),
             Err(error) => (None, Some(error.class), error.text),
         };
-        CalledAnswer {
+        WireAnswer {
             rows: List(answer.rows.into_iter().map(Blob).collect()),
             signature,
             error,
@@ -403,7 +405,7 @@
         }
     }
 
-    /// The answer, and the position of the commit that it acknowledges.
+    /// Returns the answer and the position of the commit that it acknowledges.
     pub fn into_parts(self) -> (Answer, Option<Position>) {
         let outcome = match self.error {
             Some(class) => Err(ServerError {
--- a/crates/spurpier-pipeline/src/forward/server.rs
+++ b/crates/spurpier-pipeline/src/forward/server.rs
@@ -1,4 +1,4 @@
-//! Running the calls of other nodes.
+//! Runs the calls of other nodes.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -15,10 +15,10 @@
 
 use super::caller::run_at_home;
 use super::messages::{
-    Call, CallHead, CalledAnswer, CalledSession, LinkMessage, Reply, VERSION, duration,
+    Call, CallHead, LinkMessage, Reply, VERSION, WireAnswer, WireSession, duration,
 };
 use super::stream::{MessageReader, prepare_socket, write_messages};
-use super::transaction::PlacedTransaction;
+use super::transaction::RoutedTransaction;
 use crate::configuration::allowed_regions;
 use crate::context::Context;
 use crate::known_tables::News;
@@ -27,76 +27,80 @@
 use crate::tenant::Caller;
 use crate::unit::{ClientStatement, Deadlines, Unit};
 
-/// The pause after a failed accept, as when descriptors have run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// After so long without a message a caller that has work open here counts as gone: it pings.
-const CALLER_LOST: Duration = Duration::from_millis(2_500);
-/// After so long without a message an unused connection is closed.
-const UNUSED_LIMIT: Duration = Duration::from_secs(60);
-/// The longest wait for news that is taken.
-const LONGEST_NEWS_WAIT: Duration = Duration::from_secs(5);
-/// How long a caller keeps its turn to be told much of a table if it does not say that it has come:
-/// 69 KB take half of it on a tenth of a link of 10 Mbit/s.
-const TURN_LIMIT: Duration = Duration::from_secs(1);
-/// Replies that may wait to be written.
-const WRITE_CAPACITY: usize = 4_096;
+/// The delay after a failed accept, for example when file descriptors have run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// The silence after which a caller with open work counts as lost; callers ping far more often.
+const CALLER_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// The silence after which an unused connection is closed.
+const UNUSED_TIMEOUT: Duration = Duration::from_secs(60);
+/// The limit on the wait for updates that a caller asks for.
+const MAX_UPDATE_WAIT: Duration = Duration::from_secs(5);
+/// How long a caller may hold a transfer slot for large table updates without confirming that they
+/// have arrived. 69 KB take half of this on a tenth of a 10 Mbit/s link.
+const TRANSFER_TIMEOUT: Duration = Duration::from_secs(1);
+/// The capacity of the write queue, in messages.
+const WRITE_QUEUE_CAPACITY: usize = 4_096;
 
-/// Takes connections of other nodes; never returns.
+/// Accepts connections of other nodes and serves each in a task; never returns.
 pub async fn serve(context: Arc<Context>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 tokio::spawn(serve_caller(Arc::clone(&context), stream));
             }
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
+/// Serves one caller until its connection ends, then ends all that it has open here.
 async fn serve_caller(context: Arc<Context>, stream: TcpStream) {
     if prepare_socket(&stream).is_err() {
         return;
     }
     let (reader, output) = stream.into_split();
-    let (writer, queue) = mpsc::channel(WRITE_CAPACITY);
+    let (writer, queue) = mpsc::channel(WRITE_QUEUE_CAPACITY);
     let closed = CancellationToken::new();
     tokio::spawn(write_messages(output, queue, closed.clone()));
-    let served = Arc::new(Served {
+    let connection = Arc::new(CallerConnection {
         context,
         writer,
         open: Mutex::default(),
     });
     tokio::select! {
-        () = served.read(MessageReader::new(reader)) => {}
+        () = connection.read(MessageReader::new(reader)) => {}
         () = closed.cancelled() => {}
     }
     closed.cancel();
-    served.end_all().await;
+    connection.end_all().await;
 }
 
-/// A transaction of a caller; it counts as work that a drain waits for.
+/// An open transaction of a caller, between two statements; a drain waits for it to end.
 struct HeldTransaction {
-    transaction: PlacedTransaction,
+    transaction: RoutedTransaction,
     _counted: TaskTrackerToken,
 }
 
+/// What one caller has running or open here.
 #[derive(Default)]
-struct Open {
+struct OpenWork {
+    /// The tasks of running calls, by the calls' numbers.
     calls: HashMap<u64, AbortHandle>,
+    /// Open transactions in which no statement is running, by their numbers.
     transactions: HashMap<u64, HeldTransaction>,
-    /// What keeps the caller's turns to be told much of a table, by the calls' numbers.
-    turns: HashMap<u64, AbortHandle>,
+    /// The tasks that hold transfer slots for large table updates, by the calls' numbers.
+    transfers: HashMap<u64, AbortHandle>,
 }
 
-/// What one caller has open here.
-struct Served {
+/// The runner's side of the connection of one caller.
+struct CallerConnection {
     context: Arc<Context>,
     writer: mpsc::Sender<LinkMessage>,
-    open: Mutex<Open>,
+    open: Mutex<OpenWork>,
 }
 
-impl Served {
-    fn open(&self) -> MutexGuard<'_, Open> {
+impl CallerConnection {
+    fn open(&self) -> MutexGuard<'_, OpenWork> {
         self.open.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -105,28 +109,28 @@
         !open.calls.is_empty() || !open.transactions.is_empty()
     }
 
-    /// Takes messages until the caller is gone or breaks the protocol.
+    /// Handles messages until the caller is lost or violates the protocol.
     async fn read(self: &Arc<Self>, mut reader: MessageReader) {
-        let hello = timeout(CALLER_LOST, reader.next()).await;
+        let hello = timeout(CALLER_TIMEOUT, reader.next()).await;
         if hello != Ok(Some(LinkMessage::Hello(VERSION))) {
             return;
         }
         loop {
-            let limit = if self.is_used() {
-                CALLER_LOST
+            let max_silence = if self.is_used() {
+                CALLER_TIMEOUT
             } else {
-                UNUSED_LIMIT
+                UNUSED_TIMEOUT
             };
-            let Ok(Some(message)) = timeout(limit, reader.next()).await else {
+            let Ok(Some(message)) = timeout(max_silence, reader.next()).await else {
                 return;
             };
             match message {
                 LinkMessage::Call { number, call } => self.start(number, call),
                 LinkMessage::Cancel(number) => self.cancel(number),
-                LinkMessage::NewsCame(number) => self.end_turn(number),
+                LinkMessage::UpdatesReceived(number) => self.end_transfer(number),
                 LinkMessage::EndTransaction(number) => self.end_transaction(number).await,
                 LinkMessage::Ping => {
-                    // A queue that is full holds replies, which say as much.
+                    // If the queue is full, the replies in it show the same.
                     let _ = self.writer.try_send(LinkMessage::Pong);
                 }
                 LinkMessage::Hello(_) | LinkMessage::Reply { .. } | LinkMessage::Pong => return,
@@ -135,14 +139,14 @@
     }
 
     fn start(self: &Arc<Self>, number: u64, call: Call) {
-        let served = Arc::clone(self);
-        // Held until the call is noted, so that a call that ends at once is forgotten after it.
+        let connection = Arc::clone(self);
+        // Held until the call is recorded: a call that ends at once must be removed after that.
         let mut open = self.open();
         let running = self.context.forwarded.spawn(async move {
-            let reply = served.run(number, call).await;
-            served.open().calls.remove(&number);
-            // A caller that is gone needs no reply.
-            let _ = served
+            let reply = connection.run(number, call).await;
+            connection.open().calls.remove(&number);
+            // The send fails only if the caller is gone.
+            let _ = connection
                 .writer
                 .send(LinkMessage::Reply { number, reply })
                 .await;
@@ -165,7 +169,7 @@
 
     async fn end_all(&self) {
         let open = std::mem::take(&mut *self.open());
-        for task in open.calls.values().chain(open.turns.values()) {
+        for task in open.calls.values().chain(open.transfers.values()) {
             task.abort();
         }
         for mut held in open.transactions.into_values() {
@@ -188,13 +192,13 @@
                 self.begin(head, ClientStatement::from(work), transaction, read_only)
                     .await
             }
-            Call::Within {
+            Call::InTransaction {
                 transaction,
                 session,
                 work,
                 effect,
             } => {
-                self.run_within(transaction, &session, ClientStatement::from(work), effect)
+                self.run_in_transaction(transaction, &session, ClientStatement::from(work), effect)
                     .await
             }
             Call::Commit {
@@ -205,15 +209,15 @@
                 self.commit(transaction, &session, ClientStatement::from(work))
                     .await
             }
-            Call::Leaves(question) => {
-                answer_question(&self.context, question).map_or(Reply::NotTaken, Reply::Leaves)
+            Call::Permits(question) => {
+                answer_question(&self.context, question).map_or(Reply::NotStarted, Reply::Permits)
             }
             Call::Watchers {
                 name,
                 zone,
                 wait_ms,
             } => {
-                self.tell_watchers(&name.0, &zone.0, duration(wait_ms))
+                self.assign_watchers(&name.0, &zone.0, duration(wait_ms))
                     .await
             }
             Call::Follow {
@@ -221,31 +225,32 @@
                 version,
                 wait_ms,
             } => {
-                self.tell_news(number, table, version, duration(wait_ms))
+                self.send_table_updates(number, table, version, duration(wait_ms))
                     .await
             }
         }
     }
 
-    /// Tells a starting node which nodes to follow, once this one has read the list of nodes.
-    async fn tell_watchers(&self, name: &str, zone: &str, wait: Duration) -> Reply {
+    /// Replies which nodes a starting node is to follow, once this node has read the list of nodes.
+    async fn assign_watchers(&self, name: &str, zone: &str, wait: Duration) -> Reply {
         let homes = &self.context.homes;
         homes
-            .await_list(Instant::now() + wait.min(LONGEST_NEWS_WAIT))
+            .await_list(Instant::now() + wait.min(MAX_UPDATE_WAIT))
             .await;
         homes
             .watchers_for(name, zone)
-            .map_or(Reply::NotTaken, Reply::Watchers)
+            .map_or(Reply::NotStarted, Reply::Watchers)
     }
 
-    /// Waits until there is something new of a table, and tells it; at the end of the wait only
-    /// how old what is known has become.
+    /// Waits for updates of a table and replies with them; if the wait ends without any, the reply
+    /// only refreshes the age of what is known.
     ///
-    /// Large news are told to a few nodes at a time. Told to all followers at once they fill a
-    /// narrow link for seconds, the followers take this node as silent and ask others, which are
-    /// overloaded in turn: 6,100 calls to the store on a day of 295 nodes and 2,800 new routes. A
-    /// turn ends as the news have come, however long the follower takes to work them in.
-    async fn tell_news(
+    /// Large updates are sent to a few followers at a time, each of which holds a transfer slot.
+    /// Sent to all at once, they fill a narrow link for seconds; the followers then take this node
+    /// for silent and ask others, which become overloaded too. On a day with 295 nodes and 2,800
+    /// new routes this made 6,100 calls to the store. A slot is released when the updates have
+    /// arrived, however long the follower takes to apply them.
+    async fn send_table_updates(
         &self,
         number: u64,
         table: u8,
@@ -255,7 +260,7 @@
         let called_at = self.context.clock.now();
         let known = &self.context.known_tables;
         let mut changes = known.changes();
-        let news = async {
+        let updates = async {
             while !known.has_news(table, version) {
                 if changes.changed().await.is_err() {
                     return;
@@ -263,57 +268,58 @@
             }
         };
         tokio::select! {
-            _ = timeout(wait.min(LONGEST_NEWS_WAIT), news) => {}
-            // Those that follow this node are to follow another one.
-            () = self.context.draining.cancelled() => return Reply::NotTaken,
+            _ = timeout(wait.min(MAX_UPDATE_WAIT), updates) => {}
+            // The followers of a draining node must switch to another one.
+            () = self.context.draining.cancelled() => return Reply::NotStarted,
         }
-        let news = || known.news(table, version, called_at, self.context.clock.now());
-        let mut told = news();
-        if told.as_ref().is_some_and(News::is_large) {
-            let Some(turns) = self.context.news_turns.get(usize::from(table)) else {
-                return Reply::NotTaken;
+        let updates = || known.news(table, version, called_at, self.context.clock.now());
+        let mut reply = updates();
+        if reply.as_ref().is_some_and(News::is_large) {
+            let Some(transfers) = self.context.news_turns.get(usize::from(table)) else {
+                return Reply::NotStarted;
             };
-            let Ok(turn) = Arc::clone(turns).acquire_owned().await else {
-                return Reply::NotTaken;
+            let Ok(transfer) = Arc::clone(transfers).acquire_owned().await else {
+                return Reply::NotStarted;
             };
-            // What has changed since, and how old it is now.
-            told = news();
-            self.keep_turn(number, turn);
+            // Read again: rows may have changed during the wait, and the age has.
+            reply = updates();
+            self.hold_transfer(number, transfer);
         }
-        told.map_or(Reply::NotTaken, Reply::News)
+        reply.map_or(Reply::NotStarted, Reply::TableUpdates)
     }
 
-    /// Keeps a turn until the caller has the reply to a call, for a while.
-    fn keep_turn(&self, number: u64, turn: OwnedSemaphorePermit) {
-        let kept = tokio::spawn(async move {
-            tokio::time::sleep(TURN_LIMIT).await;
-            drop(turn);
+    /// Holds a transfer slot until the caller confirms the reply to a call, or the timeout is over.
+    fn hold_transfer(&self, number: u64, transfer: OwnedSemaphorePermit) {
+        let held_transfer = tokio::spawn(async move {
+            tokio::time::sleep(TRANSFER_TIMEOUT).await;
+            drop(transfer);
         });
         let mut open = self.open();
-        open.turns.retain(|_, kept| !kept.is_finished());
-        open.turns.insert(number, kept.abort_handle());
+        open.transfers
+            .retain(|_, held_transfer| !held_transfer.is_finished());
+        open.transfers.insert(number, held_transfer.abort_handle());
     }
 
-    fn end_turn(&self, number: u64) {
-        if let Some(kept) = self.open().turns.remove(&number) {
-            kept.abort();
+    fn end_transfer(&self, number: u64) {
+        if let Some(held_transfer) = self.open().transfers.remove(&number) {
+            held_transfer.abort();
         }
     }
 
     async fn run_single(&self, head: CallHead, work: ClientStatement, effect: Effect) -> Reply {
         let relayed = head.relayed;
         let Some(unit) = self.unit(head) else {
-            return Reply::NotTaken;
+            return Reply::NotStarted;
         };
         if let Some(answer) = unit.refuse_superseded(&work.id) {
-            return Reply::Answered(CalledAnswer::new(answer, None));
+            return Reply::Answered(WireAnswer::new(answer, None));
         }
         let done = if relayed {
             unit.run_locally(&work, effect).await
         } else {
             run_at_home(&unit, &work, effect).await
         };
-        Reply::Answered(CalledAnswer::new(done.answer, done.committed))
+        Reply::Answered(WireAnswer::new(done.answer, done.committed))
     }
 
     async fn begin(
@@ -325,20 +331,20 @@
     ) -> Reply {
         let may_relay = !head.relayed;
         let Some(unit) = self.unit(head) else {
-            return Reply::NotTaken;
+            return Reply::NotStarted;
         };
         if let Some(answer) = unit.refuse_superseded(&work.id) {
-            return Reply::Answered(CalledAnswer::new(answer, None));
+            return Reply::Answered(WireAnswer::new(answer, None));
         }
-        let begun = PlacedTransaction::begin_at_home(unit, &work, read_only, may_relay);
-        let (answer, transaction) = begun.await;
+        let beginning = RoutedTransaction::begin_at_home(unit, &work, read_only, may_relay);
+        let (answer, transaction) = beginning.await;
         if let Some(transaction) = transaction {
-            self.hold(number, transaction);
+            self.hold_transaction(number, transaction);
         }
-        Reply::Answered(CalledAnswer::new(answer, None))
+        Reply::Answered(WireAnswer::new(answer, None))
     }
 
-    fn hold(&self, number: u64, transaction: PlacedTransaction) {
+    fn hold_transaction(&self, number: u64, transaction: RoutedTransaction) {
         let held = HeldTransaction {
             transaction,
             _counted: self.context.forwarded.token(),
@@ -346,8 +352,8 @@
         self.open().transactions.insert(number, held);
     }
 
-    /// Takes a transaction out for its next statement.
-    fn take(&self, number: u64, session: &CalledSession) -> Option<PlacedTransaction> {
+    /// Removes a transaction from the open ones and prepares it for its next statement.
+    fn take_transaction(&self, number: u64, session: &WireSession) -> Option<RoutedTransaction> {
         let held = self.open().transactions.remove(&number)?;
         let mut transaction = held.transaction;
         let waited = duration(session.waited_ms);
@@ -358,37 +364,37 @@
         Some(transaction)
     }
 
-    async fn run_within(
+    async fn run_in_transaction(
         &self,
         number: u64,
-        session: &CalledSession,
+        session: &WireSession,
         work: ClientStatement,
         effect: Effect,
     ) -> Reply {
-        let Some(mut transaction) = self.take(number, session) else {
-            return Reply::NotTaken;
+        let Some(mut transaction) = self.take_transaction(number, session) else {
+            return Reply::NotStarted;
         };
         if self.context.closing.is_cancelled() {
             transaction.expire().await;
             let text = "retry-after-ms=100 the node is stopping";
             let answer = Answer::error(ErrorClass::Aborted, text, TransactionState::Failed);
-            return Reply::Answered(CalledAnswer::new(answer, None));
+            return Reply::Answered(WireAnswer::new(answer, None));
         }
         let answer = transaction.run(&work, effect).await;
-        // Held again before the caller knows, so that its next statement finds it.
-        self.hold(number, transaction);
-        Reply::Answered(CalledAnswer::new(answer, None))
+        // Held again before the reply is sent, so that the caller's next statement finds it.
+        self.hold_transaction(number, transaction);
+        Reply::Answered(WireAnswer::new(answer, None))
     }
 
-    async fn commit(&self, number: u64, session: &CalledSession, work: ClientStatement) -> Reply {
-        let Some(transaction) = self.take(number, session) else {
-            return Reply::NotTaken;
+    async fn commit(&self, number: u64, session: &WireSession, work: ClientStatement) -> Reply {
+        let Some(transaction) = self.take_transaction(number, session) else {
+            return Reply::NotStarted;
         };
         let done = transaction.commit(&work).await;
-        Reply::Answered(CalledAnswer::new(done.answer, done.committed))
+        Reply::Answered(WireAnswer::new(done.answer, done.committed))
     }
 
-    /// The unit of a call; none if this node takes no more, or does not know the group.
+    /// The unit of a call; none if this node is closing or does not know the group.
     fn unit(&self, head: CallHead) -> Option<Unit> {
         let context = &self.context;
         context.metrics.count_call_taken();
@@ -397,7 +403,7 @@
         }
         let group = context.known_group(&head.group)?;
         let now = context.clock.now();
-        // That of route and tenant together.
+        // The caller has already combined the regions of the route and of the tenant.
         let allowed_regions = allowed_regions(head.allowed_regions);
         let route = Arc::new(Route {
             database: head.database,
@@ -408,7 +414,8 @@
             is_public: head.caller.is_unnamed(),
             allowed_regions: allowed_regions.clone(),
         });
-        // The acknowledgement came before the call; any later moment asks for more.
+        // The true time of the acknowledgement is before the call; a later one is the stricter
+        // requirement.
         let own_commit = head.own_commit.map(|position| SessionCommit {
             position,
             acknowledged_at: now,
--- a/crates/spurpier-pipeline/src/forward/transaction.rs
+++ b/crates/spurpier-pipeline/src/forward/transaction.rs
@@ -1,26 +1,28 @@
-//! Transactions of a session, on this node's connections or at a home of their group.
+//! Transactions of a session, on this node's server connections or at another home of their group.
 
 use std::sync::Arc;
 
-use super::caller::{UnitOutcome, await_list, call_within_time, connect, head, session, usable};
+use super::caller::{
+    UnitOutcome, await_node_list, call_within_time, candidate_homes, connect, head, session,
+};
 use super::link::Link;
-use super::messages::{Call, CalledWork};
+use super::messages::{Call, WireWork};
 use crate::homes::{Home, PeerNode};
 use crate::ports::{Answer, Effect, ErrorClass, TransactionState};
 use crate::server::Values;
 use crate::unit::{ClientStatement, Deadlines, NotRun, OpenTransaction, Unit, UnitResult};
 
-/// A transaction that stands open.
-pub enum PlacedTransaction {
+/// An open transaction, wherever it runs.
+pub enum RoutedTransaction {
     /// On a connection of this node.
-    Here(OpenTransaction),
+    Local(OpenTransaction),
     /// On a connection of another node.
-    There(RemoteTransaction),
+    Remote(RemoteTransaction),
 }
 
-impl PlacedTransaction {
-    /// Opens a transaction where the group's connections are; gives the client's answer, and the
-    /// transaction if it is open.
+impl RoutedTransaction {
+    /// Opens a transaction at a home of the group; returns the answer for the client, and the
+    /// transaction if it was opened.
     pub async fn begin(
         unit: Unit,
         work: &ClientStatement,
@@ -31,17 +33,17 @@
         if let Some(bar) = unit.bar_on_all_servers(effect) {
             return (unit.refuse(&work.id, NotRun::Barred(bar)), None);
         }
-        await_list(&unit).await;
-        for home in usable(&unit, unit.needs_leader(effect)) {
+        await_node_list(&unit).await;
+        for home in candidate_homes(&unit, unit.needs_leader(effect)) {
             let Home::Peer(home) = home else {
                 return Self::begin_at_home(unit, work, read_only, true).await;
             };
-            match begin_there(&unit, work, read_only, &home, false).await {
-                Begun::Open(link, number, answer) => {
-                    return opened(unit, link, number, home, answer);
+            match begin_remote(&unit, work, read_only, &home, false).await {
+                BeginOutcome::Open(link, number, answer) => {
+                    return remote_transaction(unit, link, number, home, answer);
                 }
-                Begun::Refused(answer) => return (answer, None),
-                Begun::NotTaken => {}
+                BeginOutcome::Refused(answer) => return (answer, None),
+                BeginOutcome::NotStarted => {}
             }
         }
         if unit.context.clock.now() >= unit.deadlines.wait_until {
@@ -51,8 +53,8 @@
         Self::begin_at_home(unit, work, read_only, true).await
     }
 
-    /// Opens a transaction on this node's connections, or at another home that is better off if it
-    /// may be handed on.
+    /// Opens a transaction on this node's connections or, with `may_relay`, at another home if one
+    /// is better able to run it.
     pub async fn begin_at_home(
         unit: Unit,
         work: &ClientStatement,
@@ -61,76 +63,77 @@
     ) -> (Answer, Option<Self>) {
         let effect = opening_effect(read_only);
         if may_relay && let Some(relay) = unit.preferred_home(effect) {
-            match begin_there(&unit, work, read_only, &relay, true).await {
-                Begun::Open(link, number, answer) => {
-                    return opened(unit, link, number, relay, answer);
+            match begin_remote(&unit, work, read_only, &relay, true).await {
+                BeginOutcome::Open(link, number, answer) => {
+                    return remote_transaction(unit, link, number, relay, answer);
                 }
-                Begun::Refused(answer) => return (answer, None),
-                Begun::NotTaken => {}
+                BeginOutcome::Refused(answer) => return (answer, None),
+                BeginOutcome::NotStarted => {}
             }
         }
         let (answer, transaction) = OpenTransaction::begin(unit, work, read_only).await;
-        (answer, transaction.map(PlacedTransaction::Here))
+        (answer, transaction.map(RoutedTransaction::Local))
     }
 
-    /// The state that the client is told.
+    /// The transaction state to report to the client.
     pub fn state(&self) -> TransactionState {
         match self {
-            PlacedTransaction::Here(transaction) => transaction.state(),
-            PlacedTransaction::There(transaction) => transaction.state(),
+            RoutedTransaction::Local(transaction) => transaction.state(),
+            RoutedTransaction::Remote(transaction) => transaction.state(),
         }
     }
 
-    /// The group in whose log its commit will stand.
+    /// The name of the group whose log will record the commit.
     pub fn group_name(&self) -> String {
         self.unit().group.name.clone()
     }
 
     fn unit(&self) -> &Unit {
         match self {
-            PlacedTransaction::Here(transaction) => &transaction.unit,
-            PlacedTransaction::There(transaction) => &transaction.unit,
+            RoutedTransaction::Local(transaction) => &transaction.unit,
+            RoutedTransaction::Remote(transaction) => &transaction.unit,
         }
     }
 
-    /// Takes in what the next statement must know of the session.
+    /// Sets the session's settings and the time limits for the next statement.
     pub fn prepare(&mut self, values: &Values, deadlines: impl FnOnce(&Unit) -> Deadlines) {
         let unit = match self {
-            PlacedTransaction::Here(transaction) => &mut transaction.unit,
-            PlacedTransaction::There(transaction) => &mut transaction.unit,
+            RoutedTransaction::Local(transaction) => &mut transaction.unit,
+            RoutedTransaction::Remote(transaction) => &mut transaction.unit,
         };
         unit.values.clone_from(values);
         unit.deadlines = deadlines(unit);
     }
 
-    /// Runs a statement.
+    /// Runs a statement in the transaction.
     pub async fn run(&mut self, work: &ClientStatement, effect: Effect) -> Answer {
         match self {
-            PlacedTransaction::Here(transaction) => {
+            RoutedTransaction::Local(transaction) => {
                 transaction.run(work, effect == Effect::Write).await
             }
-            PlacedTransaction::There(transaction) => transaction.run(work, effect).await,
+            RoutedTransaction::Remote(transaction) => transaction.run(work, effect).await,
         }
     }
 
-    /// Commits.
+    /// Commits the transaction.
     pub async fn commit(self, work: &ClientStatement) -> UnitResult {
         match self {
-            PlacedTransaction::Here(transaction) => transaction.commit(work).await,
-            PlacedTransaction::There(transaction) => transaction.commit(work).await,
+            RoutedTransaction::Local(transaction) => transaction.commit(work).await,
+            RoutedTransaction::Remote(transaction) => transaction.commit(work).await,
         }
     }
 
-    /// Gives it up; then only its end is taken.
+    /// Abandons the transaction, which then counts as failed: only a statement that ends it is
+    /// still accepted.
     pub async fn expire(&mut self) {
         match self {
-            PlacedTransaction::Here(transaction) => transaction.expire().await,
-            PlacedTransaction::There(transaction) => transaction.place = None,
+            RoutedTransaction::Local(transaction) => transaction.expire().await,
+            RoutedTransaction::Remote(transaction) => transaction.handle = None,
         }
     }
 }
 
-/// What a transaction that only reads, or may write, is to the choice of its place.
+/// The effect by which a transaction is routed: a read if it is read-only, else a write.
 const fn opening_effect(read_only: bool) -> Effect {
     if read_only {
         Effect::Read
@@ -139,30 +142,31 @@
     }
 }
 
-/// How the opening at another node ended.
-enum Begun {
-    /// It stands open under this number.
+/// The outcome of opening a transaction at another node.
+enum BeginOutcome {
+    /// It is open under this number.
     Open(Arc<Link>, u64, Answer),
-    /// It was refused, or may stand open where nobody uses it.
+    /// The answer is an error. If the transaction is open there all the same, it is not used.
     Refused(Answer),
     /// The node has not started it.
-    NotTaken,
+    NotStarted,
 }
 
-async fn begin_there(
+/// Tries to open a transaction at another home.
+async fn begin_remote(
     unit: &Unit,
     work: &ClientStatement,
     read_only: bool,
     home: &PeerNode,
     relayed: bool,
-) -> Begun {
+) -> BeginOutcome {
     let Some(link) = connect(unit, home).await else {
-        return Begun::NotTaken;
+        return BeginOutcome::NotStarted;
     };
     let transaction = link.next_number();
     let call = Call::Begin {
         head: head(unit, relayed),
-        work: CalledWork::from(work),
+        work: WireWork::from(work),
         transaction,
         read_only,
     };
@@ -170,36 +174,38 @@
         UnitOutcome::Answered(answer) => {
             let (answer, _) = answer.into_parts();
             if answer.outcome.is_ok() {
-                Begun::Open(link, transaction, answer)
+                BeginOutcome::Open(link, transaction, answer)
             } else {
-                Begun::Refused(answer)
+                BeginOutcome::Refused(answer)
             }
         }
-        UnitOutcome::NotStarted => Begun::NotTaken,
+        UnitOutcome::NotStarted => BeginOutcome::NotStarted,
         UnitOutcome::Lost => {
-            // What may stand open there is dropped; nothing of the client's has run in it.
+            // The transaction may be open there. It is dropped, and the client can be served
+            // elsewhere since none of its statements has run in it.
             link.drop_transaction(transaction);
             unit.record_retry(&work.id, &home.name, "home_silent");
-            Begun::NotTaken
+            BeginOutcome::NotStarted
         }
     }
 }
 
-fn opened(
+/// The result of opening a transaction that is now open at another home.
+fn remote_transaction(
     unit: Unit,
     link: Arc<Link>,
     number: u64,
     home: PeerNode,
     answer: Answer,
-) -> (Answer, Option<PlacedTransaction>) {
+) -> (Answer, Option<RoutedTransaction>) {
     link.open_transaction();
-    let place = Some(RemotePlace {
+    let handle = Some(RemoteHandle {
         link,
         number,
         is_committed: false,
     });
-    let transaction = RemoteTransaction { unit, home, place };
-    (answer, Some(PlacedTransaction::There(transaction)))
+    let transaction = RemoteTransaction { unit, home, handle };
+    (answer, Some(RoutedTransaction::Remote(transaction)))
 }
 
 /// A transaction on a connection of another node.
@@ -207,19 +213,21 @@
     /// The unit that opened it.
     unit: Unit,
     home: PeerNode,
-    /// None after it has failed or was given up, when only its end is taken.
-    place: Option<RemotePlace>,
+    /// None once the transaction has failed or was abandoned: then only a statement that ends it is
+    /// accepted.
+    handle: Option<RemoteHandle>,
 }
 
-/// A transaction's place at the other node, which drops the transaction when this is dropped.
-struct RemotePlace {
+/// The handle of a transaction at the other node; dropping it drops the transaction there unless
+/// it has been committed.
+struct RemoteHandle {
     link: Arc<Link>,
     number: u64,
-    /// Whether the other node has ended it.
+    /// Whether the other node has answered the commit, and so has ended the transaction.
     is_committed: bool,
 }
 
-impl Drop for RemotePlace {
+impl Drop for RemoteHandle {
     fn drop(&mut self) {
         self.link.close_transaction();
         if !self.is_committed {
@@ -230,7 +238,7 @@
 
 impl RemoteTransaction {
     fn state(&self) -> TransactionState {
-        if self.place.is_some() {
+        if self.handle.is_some() {
             TransactionState::Open
         } else {
             TransactionState::Failed
@@ -238,20 +246,20 @@
     }
 
     async fn run(&mut self, work: &ClientStatement, effect: Effect) -> Answer {
-        let Some(place) = self.place.take() else {
+        let Some(handle) = self.handle.take() else {
             return Answer::error(ErrorClass::Malformed, "failed", TransactionState::Failed);
         };
-        let call = Call::Within {
-            transaction: place.number,
+        let call = Call::InTransaction {
+            transaction: handle.number,
             session: session(&self.unit),
-            work: CalledWork::from(work),
+            work: WireWork::from(work),
             effect,
         };
-        match call_within_time(&self.unit, &place.link, call, false).await {
+        match call_within_time(&self.unit, &handle.link, call, false).await {
             UnitOutcome::Answered(answer) => {
                 let (answer, _) = answer.into_parts();
                 if answer.state == TransactionState::Open {
-                    self.place = Some(place);
+                    self.handle = Some(handle);
                 }
                 answer
             }
@@ -265,19 +273,19 @@
     }
 
     async fn commit(mut self, work: &ClientStatement) -> UnitResult {
-        let Some(mut place) = self.place.take() else {
+        let Some(mut handle) = self.handle.take() else {
             let text = "the transaction had failed";
             let answer = Answer::error(ErrorClass::Aborted, text, TransactionState::Idle);
             return UnitResult::answer(answer);
         };
         let call = Call::Commit {
-            transaction: place.number,
+            transaction: handle.number,
             session: session(&self.unit),
-            work: CalledWork::from(work),
+            work: WireWork::from(work),
         };
-        match call_within_time(&self.unit, &place.link, call, false).await {
+        match call_within_time(&self.unit, &handle.link, call, false).await {
             UnitOutcome::Answered(answer) => {
-                place.is_committed = true;
+                handle.is_committed = true;
                 UnitResult::from_forwarded(answer)
             }
             UnitOutcome::NotStarted => {
--- a/crates/spurpier-pipeline/src/unit/mod.rs
+++ b/crates/spurpier-pipeline/src/unit/mod.rs
@@ -36,7 +36,7 @@
 
 use crate::context::Context;
 use crate::events;
-use crate::forward::{CalledAnswer, millis};
+use crate::forward::{WireAnswer, millis};
 use crate::group::Group;
 use crate::homes::PeerNode;
 use crate::places::{Bar, NoLeave};
@@ -153,7 +153,7 @@
     }
 
     /// Creates the result from another node's answer to a forwarded unit.
-    pub fn from_forwarded(answer: CalledAnswer) -> Self {
+    pub fn from_forwarded(answer: WireAnswer) -> Self {
         let (answer, committed) = answer.into_parts();
         UnitResult { answer, committed }
     }
