--- a/crates/spurpier-pipeline/src/promotion/watch.rs
+++ b/crates/spurpier-pipeline/src/promotion/watch.rs
@@ -73,7 +73,7 @@
     if context.places.reason_to_move(group, &leader, now).is_some() {
         return true;
     }
-    leader.health().silences > 0
+    leader.health().unanswered_count > 0
 }
 
 /// The names of the groups for which a task runs.
@@ -246,7 +246,7 @@
     fn claimant(&self) -> Option<Arc<Server>> {
         self.group.lead().or_else(|| {
             let servers = self.group.servers().into_iter();
-            let claiming = servers.filter(|server| server.claims_lead() && !server.is_gone());
+            let claiming = servers.filter(|server| server.claims_leadership() && !server.is_gone());
             claiming.max_by_key(|server| server.listing().version)
         })
     }
--- a/crates/spurpier-pipeline/src/server/connection.rs
+++ b/crates/spurpier-pipeline/src/server/connection.rs
@@ -21,11 +21,11 @@
 };
 
 /// The greatest whole answer that is taken, in bytes.
-const MAX_ANSWER: usize = 16 << 20;
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 /// How much is read at once, at least.
-const READ_SIZE: usize = 4 << 10;
+const MIN_READ_BYTES: usize = 4 << 10;
 /// For how long sent bytes may stay unacknowledged before the connection is given up.
-const USER_TIMEOUT: Duration = Duration::from_secs(3);
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Session values by name.
 pub type Values = BTreeMap<String, String>;
@@ -84,7 +84,7 @@
     busy: bool,
     state: TransactionState,
     /// What the server showed of its log when the connection was opened, and when that was asked.
-    pub first_shown: LeadershipProof,
+    pub opening_proof: LeadershipProof,
     /// Whom it was opened for.
     pub caller: String,
     /// The session values that were set on it.
@@ -122,7 +122,7 @@
             unread: 0,
             busy: false,
             state: TransactionState::Idle,
-            first_shown: LeadershipProof {
+            opening_proof: LeadershipProof {
                 sent_at: now,
                 position: Position::ZERO,
             },
@@ -152,7 +152,7 @@
             let message = self.next_message().await;
             match message.map_err(|_| OpenError::Unreachable)? {
                 ServerMessage::Ready { position, .. } => {
-                    self.first_shown.position = position.unwrap_or(Position::ZERO);
+                    self.opening_proof.position = position.unwrap_or(Position::ZERO);
                     break;
                 }
                 ServerMessage::Error(error) => return Err(OpenError::Refused(error.class)),
@@ -237,7 +237,7 @@
             self.busy = true;
             return Err(ExchangeError::NotSent);
         }
-        self.pass(self.patience(request)).await?;
+        self.pass(self.cold_wait(request)).await?;
         // A cold server takes each message by a leave of its own; closing the connection drops the
         // transaction without one.
         let behind = behind.filter(|_| !self.cold_gate.is_counted());
@@ -267,8 +267,8 @@
 
     /// Lets one message pass, which must be sent at once. The zone's gate is asked last: it may
     /// close while the other one makes the message wait.
-    async fn pass(&mut self, patience: Patience) -> Result<(), ExchangeError> {
-        let passed = self.cold_gate.pass(patience).await;
+    async fn pass(&mut self, cold_wait: Patience) -> Result<(), ExchangeError> {
+        let passed = self.cold_gate.pass(cold_wait).await;
         passed.map_err(ExchangeError::Cold)?;
         if self.zone_gate.is_closed() {
             // A connection that is busy is closed, which drops its transaction too.
@@ -279,10 +279,10 @@
     }
 
     /// How a message waits for leave to send it to a cold server.
-    fn patience(&self, request: &ServerRequest<'_>) -> Patience {
+    fn cold_wait(&self, request: &ServerRequest<'_>) -> Patience {
         match request {
             _ if self.state != TransactionState::Idle => Patience::Transaction,
-            _ if self.is_prepared || is_question(request) => Patience::Prepared,
+            _ if self.is_prepared || is_control_request(request) => Patience::Prepared,
             _ => Patience::Refused,
         }
     }
@@ -327,7 +327,7 @@
                     });
                 }
             }
-            if size > MAX_ANSWER {
+            if size > MAX_ANSWER_BYTES {
                 return Err(io::ErrorKind::InvalidData.into());
             }
         }
@@ -339,7 +339,7 @@
             if let Some(message) = decoded.map_err(|_| io::ErrorKind::InvalidData)? {
                 return Ok(message);
             }
-            self.input.reserve(READ_SIZE);
+            self.input.reserve(MIN_READ_BYTES);
             if self.stream.read_buf(&mut self.input).await? == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
@@ -356,7 +356,7 @@
 }
 
 /// Whether it serves a change of the primary.
-fn is_question(request: &ServerRequest<'_>) -> bool {
+fn is_control_request(request: &ServerRequest<'_>) -> bool {
     matches!(
         request,
         ServerRequest::Status
@@ -376,5 +376,5 @@
 
 fn prepare_socket(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
-    socket2::SockRef::from(stream).set_tcp_user_timeout(Some(USER_TIMEOUT))
+    socket2::SockRef::from(stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))
 }
--- a/crates/spurpier-pipeline/src/server/health.rs
+++ b/crates/spurpier-pipeline/src/server/health.rs
@@ -8,12 +8,12 @@
 /// The weight of the newest answer's time, in sixteenths.
 const NEWEST_WEIGHT: u32 = 2;
 /// The answer time that is taken before the first answer.
-const FIRST_ANSWER_TIME: Duration = Duration::from_millis(20);
+const INITIAL_ANSWER_TIME: Duration = Duration::from_millis(20);
 /// For how long a silent or full server is passed over.
-const AVOIDANCE: Duration = Duration::from_millis(250);
+const AVOIDANCE_PERIOD: Duration = Duration::from_millis(250);
 
 /// Messages in a row without an answer from which on a server counts as silent.
-const SILENT_AFTER: u32 = 2;
+const SILENT_THRESHOLD: u32 = 2;
 
 /// What the exchanges with a server have shown.
 #[derive(Debug, Clone)]
@@ -31,51 +31,51 @@
     /// Since when all messages to it have gone unanswered; none while it answers.
     pub silent_since: Option<Timestamp>,
     /// How many messages in a row have gone unanswered.
-    pub silences: u32,
+    pub unanswered_count: u32,
 }
 
 impl Default for Health {
     fn default() -> Self {
         Health {
-            answer_time: FIRST_ANSWER_TIME,
+            answer_time: INITIAL_ANSWER_TIME,
             in_flight: 0,
             shown: None,
             avoided_until: Timestamp::ZERO,
             answered_at: None,
             silent_since: None,
-            silences: 0,
+            unanswered_count: 0,
         }
     }
 }
 
 impl Health {
     /// Takes in an answer to a message that left at `sent_at`.
-    pub fn note_answer(&mut self, sent_at: Timestamp) {
+    pub fn record_answer(&mut self, sent_at: Timestamp) {
         self.answered_at = self.answered_at.max(Some(sent_at));
         self.silent_since = None;
-        self.silences = 0;
+        self.unanswered_count = 0;
     }
 
     /// Whether it has left several messages in a row unanswered.
     pub fn is_silent(&self) -> bool {
-        self.silences >= SILENT_AFTER
+        self.unanswered_count >= SILENT_THRESHOLD
     }
 
     /// Takes in how long a statement took that was run.
-    pub fn note_time(&mut self, taken: Duration) {
+    pub fn record_run_time(&mut self, taken: Duration) {
         let kept = self.answer_time * (16 - NEWEST_WEIGHT) / 16;
         self.answer_time = kept + taken * NEWEST_WEIGHT / 16;
     }
 
     /// Takes in that a message went unanswered or could not be sent.
-    pub fn note_silence(&mut self, now: Timestamp) {
+    pub fn record_unanswered(&mut self, now: Timestamp) {
         self.silent_since.get_or_insert(now);
-        self.silences += 1;
+        self.unanswered_count += 1;
         self.avoid(now);
     }
 
     /// Passes the server over for a while.
     pub fn avoid(&mut self, now: Timestamp) {
-        self.avoided_until = now + AVOIDANCE;
+        self.avoided_until = now + AVOIDANCE_PERIOD;
     }
 }
--- a/crates/spurpier-pipeline/src/server/mod.rs
+++ b/crates/spurpier-pipeline/src/server/mod.rs
@@ -102,7 +102,7 @@
     }
 
     /// Whether it says that it leads the group.
-    pub fn claims_lead(&self) -> bool {
+    pub fn claims_leadership(&self) -> bool {
         self.listing().entry.role == ServerRole::Primary
     }
 
@@ -132,21 +132,21 @@
     }
 
     /// Takes in a whole answer to a message that left at `sent_at`.
-    pub fn note_answer(&self, sent_at: Timestamp) {
-        self.health().note_answer(sent_at);
+    pub fn record_answer(&self, sent_at: Timestamp) {
+        self.health().record_answer(sent_at);
     }
 
     /// Takes in that it did not answer. Once nothing may be sent to its zone, that says nothing of it.
-    pub fn note_silence(&self, clock: &Clock) {
+    pub fn record_unanswered(&self, clock: &Clock) {
         if self.pool.zone_gate().is_closed() {
             return;
         }
-        let silences = {
+        let unanswered_count = {
             let mut health = self.health();
-            health.note_silence(clock.now());
-            health.silences
+            health.record_unanswered(clock.now());
+            health.unanswered_count
         };
-        if silences == 1 {
+        if unanswered_count == 1 {
             log_event!(events::SERVER_SILENT, server = self.incarnation);
         }
     }
--- a/crates/spurpier-pipeline/src/server/pool/mod.rs
+++ b/crates/spurpier-pipeline/src/server/pool/mod.rs
@@ -28,8 +28,8 @@
 use crate::tenant::UNNAMED_CALLER;
 
 /// The pauses before a server that has too many connections is asked for one again.
-const FIRST_FULL_PAUSE: Duration = Duration::from_millis(60);
-const LONGEST_FULL_PAUSE: Duration = Duration::from_millis(600);
+const INITIAL_FULL_DELAY: Duration = Duration::from_millis(60);
+const MAX_FULL_DELAY: Duration = Duration::from_millis(600);
 /// Why a unit got no connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AcquireError {
@@ -169,7 +169,7 @@
                 uses: PoolUse::default(),
                 failure: None,
                 full_until: Timestamp::ZERO,
-                full_backoff: Backoff::new(FIRST_FULL_PAUSE, LONGEST_FULL_PAUSE),
+                full_backoff: Backoff::new(INITIAL_FULL_DELAY, MAX_FULL_DELAY),
             }),
             freed: Notify::new(),
         })
@@ -385,7 +385,7 @@
 
     /// Takes in that a connection could not be opened. A server that has too many is not asked
     /// again at once: other nodes must close some first.
-    fn note_failure(&self, error: OpenError) {
+    fn record_failure(&self, error: OpenError) {
         let now = self.clock.now();
         let mut inner = self.lock();
         inner.failure = Some((now, error));
--- a/crates/spurpier-pipeline/src/server/pool/opening.rs
+++ b/crates/spurpier-pipeline/src/server/pool/opening.rs
@@ -7,7 +7,7 @@
 use crate::server::connection::{OpenError, ServerConnection};
 
 /// How long opening a connection may take.
-const OPEN_LIMIT: Duration = Duration::from_millis(1_000);
+const OPEN_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// A connection that is being opened.
 pub struct Opening {
@@ -31,13 +31,13 @@
         let pool = Arc::clone(&self.pool);
         let dialect = Arc::clone(&pool.dialect);
         let open = ServerConnection::open(&pool.target, dialect, &self.caller, pool.clock.now());
-        let opened = tokio::time::timeout(OPEN_LIMIT, open).await;
+        let opened = tokio::time::timeout(OPEN_TIMEOUT, open).await;
         match opened.unwrap_or(Err(OpenError::Unreachable)) {
             Ok(connection) => {
                 pool.lock().full_backoff.reset();
                 self.connection = Some(connection);
             }
-            Err(error) => pool.note_failure(error),
+            Err(error) => pool.record_failure(error),
         }
     }
 }
--- a/crates/spurpier-pipeline/src/unit/attempt.rs
+++ b/crates/spurpier-pipeline/src/unit/attempt.rs
@@ -133,26 +133,26 @@
         };
         match await_or_detach(&clock, until, exchange).await {
             Some((leased, Ok(answered))) => {
-                server.note_answer(answered.sent_at);
+                server.record_answer(answered.sent_at);
                 let now = clock.now();
                 if let Some(position) = answered.answer.position {
                     self.group.note_shown(&server, position, now);
                 }
                 if answered.answer.outcome.is_ok() {
                     // Refusals are fast and would distort the server's response times.
-                    server.health().note_time(now.since(started));
+                    server.health().record_run_time(now.since(started));
                 }
                 (Some(leased), Ok(answered))
             }
             Some((leased, Err(failure))) => {
                 if matches!(failure, Failure::Broken | Failure::NotSent) {
-                    server.note_silence(&clock);
+                    server.record_unanswered(&clock);
                 }
                 drop(leased);
                 (None, Err(failure))
             }
             None => {
-                server.note_silence(&clock);
+                server.record_unanswered(&clock);
                 (None, Err(Failure::Silent))
             }
         }
@@ -284,16 +284,16 @@
     };
     match await_or_detach(clock, until, exchange).await {
         Some((leased, Ok(answer))) => {
-            server.note_answer(sent_at);
+            server.record_answer(sent_at);
             (Some(leased), Ok(TimedAnswer { answer, sent_at }))
         }
         Some((_, Err(failure @ Failure::Cold(_)))) => (None, Err(failure)),
         Some((_, Err(failure))) => {
-            server.note_silence(clock);
+            server.record_unanswered(clock);
             (None, Err(failure))
         }
         None => {
-            server.note_silence(clock);
+            server.record_unanswered(clock);
             (None, Err(Failure::Silent))
         }
     }
--- a/crates/spurpier-pipeline/src/unit/leader.rs
+++ b/crates/spurpier-pipeline/src/unit/leader.rs
@@ -76,7 +76,7 @@
                 Err(AcquireError::Open(OpenError::Closed)) => continue,
                 Err(AcquireError::Open(OpenError::Cold(no_leave))) => return Err(no_leave.into()),
                 Err(AcquireError::Open(_)) => {
-                    server.note_silence(clock);
+                    server.record_unanswered(clock);
                     group.note_denial(&server, clock.now());
                 }
             }
@@ -101,7 +101,7 @@
     let Ok(connection) = leased.connection() else {
         return true;
     };
-    let shown = connection.first_shown;
+    let shown = connection.opening_proof;
     let Err(why) = group.check_shown(&server, shown) else {
         return true;
     };
--- a/crates/spurpier-pipeline/src/unit/read.rs
+++ b/crates/spurpier-pipeline/src/unit/read.rs
@@ -306,7 +306,7 @@
             Err(AcquireError::Open(OpenError::Closed)) => Err(NotRun::Barred(Bar::Evacuated)),
             Err(AcquireError::Open(OpenError::Cold(no_leave))) => Err(no_leave.into()),
             Err(AcquireError::Open(OpenError::Unreachable)) => {
-                server.note_silence(clock);
+                server.record_unanswered(clock);
                 Err(NotRun::ServerBusy)
             }
         }
