--- a/crates/spurpier-pipeline/src/ports/configuration.rs
+++ b/crates/spurpier-pipeline/src/ports/configuration.rs
@@ -9,16 +9,16 @@
 /// How fresh a route's reads must be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FreshnessKind {
-    /// They see every commit acknowledged before them.
+    /// Reads see every commit that was acknowledged before they started.
     Latest,
-    /// They lack at most commits that are younger than this.
+    /// Reads may miss only commits younger than this staleness bound.
     Bounded(Duration),
-    /// As `Bounded`, and they see every commit of their own session.
+    /// As `Bounded`, and reads also see every commit of their own session.
     OwnWrites(Duration),
 }
 
 impl FreshnessKind {
-    /// How old a missing commit may be; zero if none may be missing.
+    /// The maximum age of a commit that a read may miss; zero if it may miss none.
     pub const fn staleness(self) -> Duration {
         match self {
             FreshnessKind::Latest => Duration::ZERO,
@@ -27,50 +27,51 @@
     }
 }
 
-/// Where the statements of one database go.
+/// How the statements of one database are routed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
-    /// The database that clients name.
+    /// The database name that clients connect to.
     pub database: String,
-    /// The group that serves it.
+    /// The replication group that serves the database.
     pub group: String,
-    /// How fresh its reads must be.
+    /// The freshness that its reads require.
     pub freshness: FreshnessKind,
-    /// How long one statement may take.
+    /// Maximum duration of one statement.
     pub timeout: Duration,
-    /// Within what an operation should be answered.
+    /// Target latency of an operation, from which the maximum wait for a server is derived; zero
+    /// if there is no target.
     pub target: Duration,
-    /// Whether it serves clients without a key.
+    /// Whether clients without an API key are served.
     pub is_public: bool,
-    /// Where its statements may run.
+    /// The regions in which its statements may run.
     pub allowed_regions: AllowedRegions,
 }
 
-/// What holds for one group.
+/// Settings of one replication group.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GroupSettings {
-    /// The group.
+    /// The group's name.
     pub name: String,
-    /// Connections that each of its servers takes from all callers together.
+    /// Maximum connections that each of its servers accepts from all callers together.
     pub connections: usize,
-    /// Replicas that must have received a commit before it is acknowledged.
+    /// Number of replicas that must receive a commit before it is acknowledged.
     pub synchronous_replicas: usize,
-    /// Requests that one of its servers takes each second, from all nodes together, while it is
-    /// cold; none if that is not bounded.
+    /// Maximum requests per second that a cold server accepts from all nodes together; `None` if
+    /// unlimited.
     pub cold_per_second: Option<f64>,
 }
 
 /// One version of the configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Configuration {
-    /// Its version; a greater one is newer.
+    /// The version number; a higher number is newer.
     pub version: u64,
     /// All routes.
     pub routes: Vec<Route>,
     /// All groups.
     pub groups: Vec<GroupSettings>,
-    /// The tenants whose clients are served; none if clients are not told apart.
+    /// The tenants whose clients are served; `None` if clients are not assigned to tenants.
     pub tenants: Option<Vec<Tenant>>,
-    /// How long an open transaction may rest before it may be ended.
+    /// How long an open transaction may stay idle before the proxy may end it.
     pub transaction_idle: Duration,
 }
--- a/crates/spurpier-pipeline/src/ports/dialect.rs
+++ b/crates/spurpier-pipeline/src/ports/dialect.rs
@@ -1,4 +1,4 @@
-//! The two sides of a dialect.
+//! Wire protocols of clients and servers, as encoders and decoders of typed messages.
 
 use std::fmt;
 
@@ -9,8 +9,8 @@
 use super::statement::{Answer, Effect, Request, ServerError, TransactionState};
 use super::tenant::KeyDigest;
 
-/// Bytes that are no message of the dialect, or a message over its limit; the connection that
-/// carried them is of no more use.
+/// The received bytes are not a valid message of the dialect, or exceed its size limit. The
+/// connection cannot be used any further.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ProtocolViolation;
 
@@ -27,9 +27,9 @@
 pub enum ClientMessage {
     /// Opens the session.
     StartUp {
-        /// The database that it names.
+        /// The requested database.
         database: String,
-        /// The digest of the client's key; none if it names none.
+        /// The digest of the client's API key; `None` if the client sent no key.
         key: Option<KeyDigest>,
     },
     /// A statement.
@@ -38,125 +38,125 @@
     Terminate,
 }
 
-/// What clients speak.
+/// The protocol between clients and the proxy.
 pub trait ClientDialect: fmt::Debug + Send + Sync {
-    /// Takes the next whole message out of the buffer; none while it is not whole.
+    /// Removes the next complete message from the buffer; `None` while it is incomplete.
     ///
     /// # Errors
     ///
-    /// [`ProtocolViolation`].
+    /// [`ProtocolViolation`] if the buffer holds no valid message.
     fn decode(&self, buffer: &mut BytesMut) -> Result<Option<ClientMessage>, ProtocolViolation>;
 
-    /// Encodes that the session is open.
+    /// Encodes the message that confirms an opened session.
     fn encode_started(&self, output: &mut BytesMut);
 
-    /// Encodes a refusal before the session's end, after which the connection is closed.
+    /// Encodes the error with which the proxy ends a session; the connection is closed after it.
     fn encode_refusal(&self, error: &ServerError, output: &mut BytesMut);
 
-    /// Encodes a statement's whole answer.
+    /// Encodes the complete answer to a statement.
     fn encode_answer(&self, answer: &Answer, output: &mut BytesMut);
 }
 
-/// A message to a server. Those without an `id` are the proxy's own.
+/// A message to a server. Variants without an `id` originate in the proxy, not in a client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerRequest<'a> {
     /// Opens the connection.
     StartUp {
         /// The group that the server must belong to.
         group: &'a str,
-        /// Whom the connection is for: a tenant, or the proxy itself.
+        /// On whose behalf the connection is opened: a tenant, or the proxy itself.
         caller: &'a str,
-        /// The server that it must be.
+        /// The name of the expected server.
         instance: &'a str,
     },
-    /// A client's statement as given.
+    /// A client's statement, forwarded unchanged.
     Relay {
-        /// The client's name for it.
+        /// The identifier that the client gave the statement.
         id: &'a str,
-        /// Its text.
+        /// The statement's text.
         text: &'a str,
-        /// The position that the server's log must hold.
+        /// The log position that the server must have reached before it runs the statement.
         after: Option<Position>,
     },
-    /// A client's execution of a prepared statement, under the server's name for it.
+    /// Executes a prepared statement for a client, under its name on the server connection.
     Execute {
-        /// The client's name for it.
+        /// The identifier that the client gave the statement.
         id: &'a str,
-        /// The server's name of the prepared statement.
+        /// The name of the prepared statement on the server connection.
         name: &'a str,
-        /// What follows the name, as given.
+        /// The text that follows the name, unchanged.
         arguments: &'a str,
-        /// The position that the server's log must hold.
+        /// The log position that the server must have reached before it runs the statement.
         after: Option<Position>,
     },
-    /// Opens a transaction that may write.
+    /// Opens a read-write transaction.
     Begin,
-    /// Drops the open transaction.
+    /// Rolls back the open transaction.
     Rollback,
-    /// Sets a value.
+    /// Sets a session value.
     Set {
-        /// Its name.
+        /// The value's name.
         name: &'a str,
         /// The value.
         value: &'a str,
     },
     /// Prepares a statement.
     Prepare {
-        /// The server's name for it.
+        /// The statement's name on the server connection.
         name: &'a str,
-        /// What executing it does.
+        /// Whether executing it reads or writes.
         effect: Effect,
-        /// Its shape.
+        /// The statement's shape, by which sessions share it on a server connection.
         shape: &'a str,
     },
-    /// Drops all values and prepared names.
+    /// Clears all session values and prepared statements.
     Reset,
-    /// Asks for the server's status.
+    /// Requests the server's status.
     Status,
-    /// Stops a replica from receiving.
+    /// Stops replication on a replica.
     Pause {
-        /// A term above the newest.
+        /// A term above the newest known one.
         term: u64,
     },
-    /// Lets a paused replica receive again.
+    /// Resumes replication on a paused replica.
     Resume,
-    /// Makes a primary of a lower term a replica.
+    /// Demotes a primary of a lower term to a replica.
     StepDown {
-        /// The term.
+        /// The new term.
         term: u64,
     },
 }
 
-/// A part of a server's answer.
+/// One message of a server's answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ServerMessage {
     /// One row.
     Row(Bytes),
-    /// The statement has worked.
+    /// The statement succeeded; carries the server's signature.
     Complete(Bytes),
-    /// The statement has failed.
+    /// The statement failed.
     Error(ServerError),
-    /// The answer is whole.
+    /// The answer is complete.
     Ready {
-        /// The connection's state.
+        /// The transaction state of the connection.
         state: TransactionState,
-        /// What the server's log shows.
+        /// The position of the server's log; `None` if not reported.
         position: Option<Position>,
     },
 }
 
-/// What servers speak.
+/// The protocol between the proxy and database servers.
 pub trait ServerDialect: fmt::Debug + Send + Sync {
     /// Encodes a message.
     fn encode(&self, request: &ServerRequest<'_>, output: &mut BytesMut);
 
-    /// Takes the next whole message out of the buffer; none while it is not whole.
+    /// Removes the next complete message from the buffer; `None` while it is incomplete.
     ///
     /// # Errors
     ///
-    /// [`ProtocolViolation`].
+    /// [`ProtocolViolation`] if the buffer holds no valid message.
     fn decode(&self, buffer: &mut BytesMut) -> Result<Option<ServerMessage>, ProtocolViolation>;
 
-    /// Reads the answer to `Status`, `Pause`, `Resume` or `StepDown`; none if it is an error.
+    /// Reads the answer to `Status`, `Pause`, `Resume` or `StepDown`; `None` if it is an error.
     fn read_status(&self, answer: &Answer) -> Option<ServerStatus>;
 }
--- a/crates/spurpier-pipeline/src/ports/directory.rs
+++ b/crates/spurpier-pipeline/src/ports/directory.rs
@@ -1,4 +1,4 @@
-//! Servers as the platform lists them and as they tell of themselves.
+//! Servers as listed in the platform's directory and as they report their own status.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -10,37 +10,37 @@
 use super::configuration::Configuration;
 use super::store::Row;
 
-/// A server's role as it sees itself; a deposed primary may not know yet.
+/// The role that a server reports; a deposed primary may not have noticed its demotion yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerRole {
-    /// It takes writes.
+    /// Accepts writes.
     Primary,
-    /// It follows a primary.
+    /// Replicates from a primary.
     Replica,
 }
 
-/// What a server tells of itself in the directory.
+/// A server's entry in the directory, written by the server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerEntry {
-    /// Which life of which server it is.
+    /// The server and its incarnation.
     pub incarnation: Incarnation,
-    /// Its group.
+    /// The replication group that it belongs to.
     pub group: String,
-    /// Its address, which another server may have later.
+    /// Its address, which may be reassigned to another server later.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The zone that it runs in.
     pub zone: String,
-    /// How many statements it runs at the same time.
+    /// Maximum number of statements that it runs concurrently.
     pub slots: usize,
-    /// Whether it is about to end.
+    /// Whether it is draining before a shutdown.
     pub draining: bool,
-    /// Its role.
+    /// Its reported role.
     pub role: ServerRole,
-    /// For how long it stays cold, counted from its start; zero if it is warm.
+    /// How long it stays cold, counted from its start; zero if it is warm.
     pub cold_for: Duration,
 }
 
-/// What a server tells of itself.
+/// A field of a server's directory entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum EntryField {
     /// Its name.
@@ -53,15 +53,15 @@
     Zone,
     /// The version of its software.
     Software,
-    /// How many statements it runs at the same time.
+    /// Maximum number of concurrent statements.
     Slots,
-    /// Whether it is about to end.
+    /// Whether it is draining.
     State,
-    /// For how long it stays cold.
+    /// How long it stays cold.
     Cold,
     /// Its role.
     Role,
-    /// How often it has written its entry.
+    /// How many times it has written its entry.
     Writes,
     /// When it started.
     Start,
@@ -83,7 +83,7 @@
         EntryField::Start,
     ];
 
-    /// The field as logs name it.
+    /// The field's name in logs.
     pub const fn text(self) -> &'static str {
         match self {
             EntryField::Name => "name",
@@ -101,25 +101,25 @@
     }
 }
 
-/// Why a row of the directory names no server to use.
+/// Why a row of the directory does not describe a usable server.
 ///
-/// Whoever else writes there may leave out fields, give them other types, or put anything in.
+/// The directory is written by others, so fields may be missing, of the wrong type or invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum UnusableEntry {
-    /// The value is no object with fields.
+    /// The value is not an object with fields.
     Unreadable,
-    /// A field is missing, of another type, or outside of what it may hold.
+    /// A field is missing, of the wrong type, or out of range.
     Field(EntryField),
-    /// The state is none that a server can be in.
+    /// The state is not a known server state.
     UnknownState,
-    /// The role is none that a server can have.
+    /// The role is not a known server role.
     UnknownRole,
-    /// The server does not tell when it started, and the others do.
+    /// The start time is missing, although other servers report theirs.
     NoStart,
 }
 
 impl UnusableEntry {
-    /// The reason as metrics name it.
+    /// The reason's name in metrics.
     pub const fn text(self) -> &'static str {
         match self {
             UnusableEntry::Unreadable => "unreadable",
@@ -140,29 +140,30 @@
     }
 }
 
-/// What a server answers when asked for its status.
+/// A server's answer to a status request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerStatus {
     /// Its role.
     pub role: ServerRole,
-    /// The term that it knows.
+    /// The newest term that it knows.
     pub term: u64,
     /// The last position that it has received.
     pub received: Position,
 }
 
-/// Reads the platform's rows.
+/// Decodes the rows of the platform's store.
 pub trait EntryFormat: Send + Sync {
-    /// Reads a server's row.
+    /// Decodes a server's row.
     ///
     /// # Errors
     ///
-    /// [`UnusableEntry`] if it names no server to use.
+    /// [`UnusableEntry`] if the row does not describe a usable server.
     fn server(&self, row: &Row) -> Result<ServerEntry, UnusableEntry>;
 
-    /// The zone whose evacuation a row asks for, also one that is gone; none if it is another row.
+    /// The zone whose evacuation a row requests, even if the row was removed; `None` for any
+    /// other row.
     fn evacuated_zone(&self, row: &Row) -> Option<String>;
 
-    /// Reads the row of the configuration; none if it is malformed or another row.
+    /// Decodes the configuration row; `None` if it is malformed or is another row.
     fn configuration(&self, row: &Row) -> Option<Configuration>;
 }
--- a/crates/spurpier-pipeline/src/ports/mod.rs
+++ b/crates/spurpier-pipeline/src/ports/mod.rs
@@ -1,8 +1,8 @@
-//! The ports: what the pipeline asks of a dialect, of the platform's store and of its promotion
-//! service, as typed messages.
+//! Ports: the interfaces through which the pipeline uses a wire protocol (dialect), the
+//! platform's metadata store and its promotion service.
 //!
-//! An adapter implements them. It translates names, formats and calls and decides nothing: time
-//! limits, retries and choices are the pipeline's.
+//! Adapters implement them and only translate names, formats and calls. Timeouts, retries and
+//! all decisions are left to the pipeline.
 
 mod configuration;
 mod dialect;
--- a/crates/spurpier-pipeline/src/ports/promotion.rs
+++ b/crates/spurpier-pipeline/src/ports/promotion.rs
@@ -4,36 +4,36 @@
 
 use super::store::StoreError;
 
-/// A number that rises with each decision; the service refuses one that is lower than another
-/// seen for the same group.
+/// A number that increases with each promotion decision. The service refuses a token lower than
+/// one that it has already seen for the same group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FencingToken(pub u64);
 
-/// An order to let a server take over.
+/// A request to make a server the primary of its group.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Promotion {
-    /// The group.
+    /// The group's name.
     pub group: String,
-    /// The server that takes over.
+    /// The name of the server to promote.
     pub instance: String,
-    /// The node that gives the order.
+    /// The node that sends the request as holder of the promotion lease.
     pub holder: String,
-    /// The decision's number.
+    /// The fencing token of the decision.
     pub token: FencingToken,
 }
 
-/// What the service says to an order.
+/// The service's answer to a promotion request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PromotionAnswer {
-    /// It was taken.
+    /// The promotion was accepted.
     Accepted,
-    /// It was refused: a newer decision is known, or the server does not run.
+    /// The promotion was refused: a newer decision is known, or the server is not running.
     Refused,
 }
 
-/// Names the server that takes over.
+/// The service of the platform that promotes servers.
 pub trait PromotionService: Send + Sync {
-    /// Sends one order, once.
+    /// Sends a promotion request once, without retries.
     fn promote(
         &self,
         promotion: Promotion,
--- a/crates/spurpier-pipeline/src/ports/statement.rs
+++ b/crates/spurpier-pipeline/src/ports/statement.rs
@@ -1,4 +1,4 @@
-//! Statements and their answers, free of any dialect.
+//! Statements and their answers, independent of the dialect.
 
 use bytes::Bytes;
 use nanoserde::{DeBin, SerBin};
@@ -9,13 +9,13 @@
 /// Whether a statement changes data.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, SerBin, DeBin)]
 pub enum Effect {
-    /// It only reads.
+    /// Only reads.
     Read,
-    /// It writes.
+    /// Writes.
     Write,
 }
 
-/// What a statement is to the proxy.
+/// A statement as classified by the proxy.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Statement {
     /// Opens a transaction.
@@ -23,11 +23,11 @@
         /// Whether it may only read.
         read_only: bool,
     },
-    /// Ends a transaction and keeps it.
+    /// Commits the transaction.
     Commit,
-    /// Ends a transaction and drops it.
+    /// Rolls the transaction back.
     Rollback,
-    /// Reads or writes, as its text says.
+    /// Reads or writes data, as its text indicates.
     Run(Effect),
     /// Sets a value of the session.
     Set {
@@ -36,39 +36,39 @@
         /// The value.
         value: String,
     },
-    /// Prepares a statement under a name of the session.
+    /// Prepares a statement under a name that is local to the session.
     Prepare {
         /// The name.
         name: String,
-        /// What executing it does.
+        /// Whether executing it reads or writes.
         effect: Effect,
-        /// The statement's shape.
+        /// The statement's shape, by which sessions share it on a server connection.
         shape: String,
     },
     /// Executes a prepared statement.
     Execute {
         /// The name.
         name: String,
-        /// What follows the name, as given.
+        /// The text that follows the name, unchanged.
         arguments: String,
     },
-    /// Forgets a prepared name.
+    /// Removes a prepared statement.
     Deallocate {
         /// The name.
         name: String,
     },
-    /// None of the above.
+    /// Not a valid statement.
     Malformed,
 }
 
 /// A statement as a client sent it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
-    /// The client's name for it, which servers are given too.
+    /// The identifier that the client gave it; it is forwarded to servers.
     pub id: String,
-    /// Its text, as given.
+    /// Its text, unchanged.
     pub text: String,
-    /// What it is.
+    /// The classified statement.
     pub statement: Statement,
 }
 
@@ -79,45 +79,45 @@
     Idle,
     /// A transaction is open.
     Open,
-    /// A transaction has failed; only its end is taken.
+    /// A transaction has failed; only its end is accepted.
     Failed,
 }
 
-/// The meaning of an error.
+/// The class of an error; it determines whether the statement may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, SerBin, DeBin)]
 pub enum ErrorClass {
-    /// Not run: there is too much work.
+    /// Not run: the server is overloaded.
     Busy,
-    /// Not kept: the transaction was given up.
+    /// Not kept: the transaction was aborted.
     Aborted,
-    /// Not run: the server's log lacks the asked position.
+    /// Not run: the server's log has not reached the requested position.
     Lagging,
-    /// Not run: the server does not lead the group.
+    /// Not run: the server is not the leader of the group.
     ReadOnly,
-    /// Not run: the server is not the one that was meant.
+    /// Not run: the request reached another server than intended.
     Misrouted,
-    /// Not run: the server holds too many connections.
+    /// Not run: the server has too many connections.
     TooManyConnections,
-    /// Not run: the prepared name is not known.
+    /// Not run: the prepared statement is unknown.
     UnknownName,
-    /// Not run: the statement is none.
+    /// Not run: the statement is invalid.
     Malformed,
-    /// Not run: there is no such database.
+    /// Not run: the database does not exist.
     UnknownDatabase,
-    /// Not run: no tenant holds the client's key.
+    /// Not run: the client's key belongs to no tenant.
     UnknownKey,
-    /// It may have run.
+    /// The outcome is unknown: the statement may have run.
     InDoubt,
-    /// It ran out of time and may have run.
+    /// Timed out; the statement may have run.
     Timeout,
-    /// It ran and failed.
+    /// The statement ran and failed.
     Failed,
-    /// A class that the dialect does not tell; it may have run.
+    /// A class that the dialect does not distinguish; the statement may have run.
     Other,
 }
 
 impl ErrorClass {
-    /// Whether the server promises that nothing was run or kept.
+    /// Whether the class guarantees that nothing was run or kept.
     pub const fn is_not_run(self) -> bool {
         !matches!(
             self,
@@ -126,37 +126,37 @@
     }
 }
 
-/// An error as a server gave it or as the proxy gives it.
+/// An error returned by a server or by the proxy itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerError {
-    /// What it means.
+    /// The class of the error.
     pub class: ErrorClass,
-    /// The text beside it.
+    /// The error message.
     pub text: String,
 }
 
-/// A statement's success.
+/// The outcome of a successful statement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Completion {
-    /// The server's signature, as given; none if the proxy answered itself.
+    /// The server's signature, unchanged; `None` if the proxy answered itself.
     pub signature: Option<Bytes>,
 }
 
-/// A whole answer: rows, the outcome, and the state behind it.
+/// A complete answer: rows, the outcome and the resulting transaction state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
-    /// The rows' own bytes, in order.
+    /// The encoded rows, in order.
     pub rows: Vec<Bytes>,
-    /// How it ended.
+    /// Success, or the error that ended the statement.
     pub outcome: Result<Completion, ServerError>,
-    /// The state behind it.
+    /// The transaction state after the statement.
     pub state: TransactionState,
-    /// The position that the server's log showed; none if it told none.
+    /// The position of the server's log; `None` if not reported.
     pub position: Option<Position>,
 }
 
 impl Answer {
-    /// The proxy's own answer that a statement has worked.
+    /// Returns the proxy's own answer for a successful statement.
     pub fn done(state: TransactionState) -> Self {
         Answer {
             rows: Vec::new(),
@@ -166,7 +166,7 @@
         }
     }
 
-    /// The proxy's own answer that a statement has failed.
+    /// Returns the proxy's own answer for a failed statement.
     pub fn error(class: ErrorClass, text: impl Into<String>, state: TransactionState) -> Self {
         let text = text.into();
         Answer {
@@ -177,13 +177,13 @@
         }
     }
 
-    /// The answer of a statement whose client is not served.
+    /// Returns the answer for a statement whose client was not admitted.
     pub fn denied(denied: AdmissionError) -> Self {
         let error = denied.error();
         Answer::error(error.class, error.text, TransactionState::Idle)
     }
 
-    /// The class of its error; none if it succeeded.
+    /// The class of the error; `None` if the statement succeeded.
     pub fn error_class(&self) -> Option<ErrorClass> {
         self.outcome.as_ref().err().map(|error| error.class)
     }
--- a/crates/spurpier-pipeline/src/ports/store.rs
+++ b/crates/spurpier-pipeline/src/ports/store.rs
@@ -15,36 +15,37 @@
 pub enum Table {
     /// The operator's configuration.
     Configuration,
-    /// The servers' entries.
+    /// The database servers' entries.
     Servers,
-    /// The nodes' entries, and the newest succession of each group.
+    /// The proxy nodes' entries, and the newest succession of each group.
     Cluster,
-    /// The holder of the promotion duty, and the nodes that have yielded to a decision.
+    /// The holder of the promotion lease, and the nodes that have released their leader lease for
+    /// a decision.
     Duty,
 }
 
-/// How many shards the nodes' entries are spread over.
+/// Number of shards that the nodes' entries are distributed over.
 ///
-/// All nodes list themselves when the whole system starts. A shard takes some 200 writes a second; as
-/// many shards as this use up what the store takes in all.
+/// All nodes register at once when the whole system starts. A shard accepts about 200 writes per
+/// second, and this many shards use the write capacity of the whole store.
 const NODE_SHARDS: u8 = 16;
 
-/// A part of the store whose writes are carried out one after another.
+/// A part of the store whose writes are executed serially.
 ///
-/// Rows that one transaction changes or looks at share a shard. The operator's writes stand in that of
-/// the platform, where no row of ours makes them wait.
+/// All rows that a transaction changes or checks belong to one shard. The operator's writes use
+/// the platform's shard, where they never wait for writes of the proxy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Shard {
-    /// What the platform and the operator write.
+    /// Rows written by the platform and the operator.
     Platform,
-    /// Who holds the duty and which successions it has decided on.
+    /// The holder of the promotion lease and the successions that were decided.
     Duty,
-    /// The entries of some of the nodes.
+    /// The entries of the nodes whose names hash to this shard index.
     Nodes(u8),
 }
 
 impl Shard {
-    /// All shards of a table.
+    /// Returns all shards that hold rows of a table.
     pub fn all(table: Table) -> Vec<Shard> {
         match table {
             Table::Configuration | Table::Servers => vec![Shard::Platform],
@@ -56,41 +57,41 @@
         }
     }
 
-    /// The shard of a node's entry.
+    /// Returns the shard of a node's entry.
     pub fn of_node(name: &str) -> Shard {
         let shard = subject_digest(name) % u64::from(NODE_SHARDS);
         Shard::Nodes(shard as u8)
     }
 }
 
-/// A row.
+/// A row of the store, or the record of its removal.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Row {
     /// Its key.
     pub key: String,
-    /// Its value; empty if it is gone.
+    /// Its value; empty if the row was removed.
     pub value: Bytes,
-    /// The version of its last change.
+    /// The store version of its last change.
     pub version: StoreVersion,
     /// Whether it was removed.
     pub gone: bool,
 }
 
-/// Rows as of one moment.
+/// A consistent snapshot of rows.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReadRows {
     /// The rows.
     pub rows: Vec<Row>,
-    /// The store's newest version at that moment.
+    /// The store's newest version at the time of the snapshot.
     pub version: StoreVersion,
-    /// That moment on the store's steady clock; none if the store does not tell it.
+    /// The time of the snapshot on the store's monotonic clock; `None` if not reported.
     pub now: Option<Duration>,
 }
 
 /// One change of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Write {
-    /// Puts a row.
+    /// Inserts or replaces a row.
     Put {
         /// Its table.
         table: Table,
@@ -108,48 +109,48 @@
     },
 }
 
-/// What a row must be for a transaction to be made.
+/// The version that a row must have for a transaction to be committed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Condition {
     /// Its table.
     pub table: Table,
     /// Its key.
     pub key: String,
-    /// Its version, or number 0 of the era in which it was seen that there is no such row.
+    /// The expected version; number 0 of an era if the row was observed to be absent in that era.
     pub version: StoreVersion,
 }
 
-/// Changes of rows of one shard, in any tables, made together under conditions.
+/// An atomic, conditional change of rows of one shard, in any tables.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Transaction {
     /// The conditions.
     pub conditions: Vec<Condition>,
     /// The changes.
     pub writes: Vec<Write>,
-    /// In which shard all of them stand.
+    /// The shard of all rows involved.
     pub shard: Shard,
 }
 
 /// How a transaction ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TransactOutcome {
-    /// It was made, with this version. In another era than that of its conditions it may have met
-    /// rows of the same numbers and other contents.
+    /// It was committed with this version. If the version's era differs from that of the
+    /// conditions, they may have matched rows with the same version numbers but other contents.
     Made(StoreVersion),
-    /// A condition did not hold; nothing was made.
+    /// A condition did not hold, and nothing was changed.
     Conflict(Vec<Row>),
 }
 
-/// Why a call of the platform gave nothing.
+/// Why a call to the platform failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreError {
-    /// Nothing was done: too many calls, or the store is down and says so.
+    /// Nothing was changed: there were too many calls, or the store reported that it is down.
     Refused,
-    /// The history that was asked for is gone.
+    /// The requested history is no longer available.
     HistoryGone,
-    /// The store came back from an older copy between two parts of the answer.
+    /// The store was restored from an older copy between two parts of the answer.
     EraChanged,
-    /// No answer, or one that is none: a change may have been made or may be made later.
+    /// No valid answer arrived: a change may have been made or may still be made later.
     Unknown,
 }
 
@@ -166,8 +167,8 @@
 
 impl std::error::Error for StoreError {}
 
-/// The store. Each method makes one call; limits in time are the caller's, who drops the future.
-/// Answers that may be large tell how they come.
+/// The platform's metadata store. Each method makes one call without a timeout: the caller drops
+/// the future to cancel it. Calls with large answers report their progress.
 pub trait MetadataStore: Send + Sync {
     /// Reads all rows of a table.
     fn read(
@@ -176,7 +177,7 @@
         progress: &Progress,
     ) -> BoxFuture<'static, Result<ReadRows, StoreError>>;
 
-    /// Waits for rows of a table that changed after a version, at most for `wait`.
+    /// Waits up to `wait` for rows of a table that changed after a version.
     fn changes(
         &self,
         table: Table,
@@ -185,7 +186,7 @@
         progress: &Progress,
     ) -> BoxFuture<'static, Result<ReadRows, StoreError>>;
 
-    /// Makes a transaction.
+    /// Commits a transaction if its conditions hold.
     fn transact(
         &self,
         transaction: Transaction,
--- a/crates/spurpier-pipeline/src/ports/tenant.rs
+++ b/crates/spurpier-pipeline/src/ports/tenant.rs
@@ -1,4 +1,4 @@
-//! Tenants: who clients are, and how much each may ask for.
+//! Tenants: the identity of clients and their quotas.
 
 use std::fmt;
 
@@ -6,16 +6,17 @@
 use sha2::{Digest, Sha256};
 use spurpier_core::locality::AllowedRegions;
 
-/// Bytes of a key's digest: two keys of one deployment do not share one by chance or by search.
+/// Length of a key's digest in bytes, enough that two keys of one deployment do not collide by
+/// chance or by a deliberate search.
 const DIGEST_BYTES: usize = 16;
 
-/// The digest of a client's key, which stands for the key everywhere behind the dialect: a key
-/// itself is in no message between nodes, log, metric or error.
+/// The digest of a client's API key. It replaces the key everywhere behind the dialect, so the key
+/// never appears in messages between nodes, logs, metrics or errors.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct KeyDigest([u8; DIGEST_BYTES]);
 
 impl KeyDigest {
-    /// The digest of a key.
+    /// Computes the digest of a key.
     pub fn of(key: &str) -> Self {
         let whole = Sha256::digest(key.as_bytes());
         let mut digest = [0; DIGEST_BYTES];
@@ -30,24 +31,24 @@
     }
 }
 
-/// How many operations a tenant may start, over all nodes together.
+/// The rate at which a tenant may start operations, across all nodes.
 #[derive(Debug, Clone, Copy, PartialEq, SerBin, DeBin)]
 pub struct Quota {
-    /// Operations a second.
+    /// Operations per second.
     pub per_second: f64,
-    /// Operations beyond the rate that may come at once.
+    /// Number of operations beyond the rate that may start at once.
     pub burst: f64,
 }
 
-/// A tenant: the holder of keys.
+/// A tenant, identified by the API keys that it holds.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tenant {
-    /// Its name, which servers are told.
+    /// Its name, which is sent to servers.
     pub name: String,
     /// The digests of its keys.
     pub keys: Vec<KeyDigest>,
-    /// How much it may ask for; none if that is not bounded.
+    /// Its quota; `None` if unlimited.
     pub quota: Option<Quota>,
-    /// Where its statements may run.
+    /// The regions in which its statements may run.
     pub allowed_regions: AllowedRegions,
 }
--- a/crates/spurpier-pipeline/src/server/connection.rs
+++ b/crates/spurpier-pipeline/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a server: one exchange at a time, and whole answers only.
+//! A connection to a server: runs one exchange at a time and returns only complete answers.
 
 use std::collections::{BTreeMap, HashSet};
 use std::fmt;
@@ -20,11 +20,11 @@
     TransactionState,
 };
 
-/// The greatest whole answer that is taken, in bytes.
+/// Maximum size of the rows of an answer, in bytes.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
-/// How much is read at once, at least.
+/// Minimum free space of the input buffer before a read, in bytes.
 const MIN_READ_BYTES: usize = 4 << 10;
-/// For how long sent bytes may stay unacknowledged before the connection is given up.
+/// How long sent bytes may stay unacknowledged before the connection is closed.
 const TCP_USER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Session values by name.
@@ -33,25 +33,25 @@
 /// Why a connection could not be opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OpenError {
-    /// Nobody answers at the address.
+    /// The address does not answer.
     Unreachable,
-    /// The server refused.
+    /// The server refused the connection, with this error class.
     Refused(ErrorClass),
-    /// Nothing may be sent to its zone.
+    /// The gate of the server's zone is closed: nothing may be sent to the zone.
     Closed,
-    /// The server is cold, and no leave to send to it was given.
+    /// The server is cold, and no permit to send to it was granted.
     Cold(NoLeave),
 }
 
-/// Why an exchange gave no answer; the connection is of no more use.
+/// Why an exchange returned no answer. The connection cannot be reused, except after `Cold`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExchangeError {
-    /// Nothing was sent: the connection was found closed, or nothing may be sent to its zone.
+    /// Nothing was sent: the connection was already closed, or its zone's gate is closed.
     NotSent,
-    /// The statement may have run.
+    /// The connection failed, and the statement may have run.
     Unclear,
-    /// The server is cold, and no leave to send to it was given: nothing was sent, and the
-    /// connection is of use still.
+    /// The server is cold, and no permit to send to it was granted. Nothing was sent, and the
+    /// connection remains usable.
     Cold(NoLeave),
 }
 
@@ -65,40 +65,41 @@
     }
 }
 
-/// An open connection.
+/// An open connection to a server.
 #[derive(Debug)]
 pub struct ServerConnection {
     stream: TcpStream,
     dialect: Arc<dyn ServerDialect>,
-    /// Asked before each message that is sent.
+    /// Checked before each message is sent.
     zone_gate: Arc<ZoneGate>,
-    /// Passed with each message that is sent.
+    /// Limits the rate of messages to a cold server; every message passes it.
     cold_gate: Arc<ColdGate>,
-    /// Whether all that was sent since the last statement only prepared the connection.
+    /// Whether only preparing messages were sent since the last statement.
     is_prepared: bool,
     input: BytesMut,
     output: BytesMut,
-    /// Answers of the proxy's own statements that have not been read yet.
+    /// Number of answers to the proxy's own statements that are still to be read.
     unread: usize,
-    /// Whether an exchange has begun and not ended.
+    /// Whether an exchange has started and not completed.
     busy: bool,
     state: TransactionState,
-    /// What the server showed of its log when the connection was opened, and when that was asked.
+    /// The log position that the server reported when the connection was opened, and the time of
+    /// that request.
     pub opening_proof: LeadershipProof,
-    /// Whom it was opened for.
+    /// The caller that it was opened for.
     pub caller: String,
     /// The session values that were set on it.
     pub values: Values,
-    /// The names that were prepared on it.
+    /// The names of the statements prepared on it.
     pub prepared: HashSet<String>,
 }
 
 impl ServerConnection {
-    /// Opens a connection for a caller, from `now` on.
+    /// Opens a connection for a caller; `now` is the send time of the opening message.
     ///
     /// # Errors
     ///
-    /// [`OpenError`].
+    /// [`OpenError`] if the server cannot be reached, refuses, or may not be sent to.
     pub async fn open(
         target: &Target,
         dialect: Arc<dyn ServerDialect>,
@@ -164,12 +165,13 @@
         Ok(())
     }
 
-    /// Whether it can carry another session's work: no answer is awaited, no transaction is open.
+    /// Whether another session can use it: no exchange is running and no transaction is open.
     pub fn is_reusable(&self) -> bool {
         !self.busy && self.state == TransactionState::Idle
     }
 
-    /// Whether the server has not closed it, as far as can be told without waiting.
+    /// Whether the server has kept it open, as far as a non-blocking read can detect. Unexpected
+    /// data also counts as closed.
     pub fn is_alive(&mut self) -> bool {
         loop {
             let mut chunk = [0_u8; 512];
@@ -182,22 +184,22 @@
         }
     }
 
-    /// Sends a statement and reads its whole answer.
+    /// Sends a statement and reads its complete answer.
     ///
     /// # Errors
     ///
-    /// [`ExchangeError`].
+    /// [`ExchangeError`] if no complete answer was read.
     pub async fn exchange(&mut self, request: &ServerRequest<'_>) -> Result<Answer, ExchangeError> {
         self.exchange_all(request, None).await
     }
 
-    /// As [`ServerConnection::exchange`], with the drop of the transaction sent right behind it.
+    /// As [`ServerConnection::exchange`], with a rollback sent immediately after the statement.
     ///
-    /// The answer to the drop is read at the connection's next use.
+    /// The answer to the rollback is read at the connection's next use.
     ///
     /// # Errors
     ///
-    /// [`ExchangeError`].
+    /// [`ExchangeError`] if no complete answer was read.
     pub async fn exchange_and_roll_back(
         &mut self,
         request: &ServerRequest<'_>,
@@ -206,11 +208,12 @@
         self.exchange_all(request, rollback).await
     }
 
-    /// Sends the drop of the transaction; its answer is read at the connection's next use.
+    /// Sends a rollback; its answer is read at the connection's next use.
     ///
     /// # Errors
     ///
-    /// [`ExchangeError`]; the transaction is dropped then as its connection is closed.
+    /// [`ExchangeError`] if it could not be sent; closing the connection then rolls back the
+    /// transaction.
     pub async fn roll_back(&mut self) -> Result<(), ExchangeError> {
         self.busy = true;
         self.pass(Patience::Refused).await?;
@@ -238,8 +241,8 @@
             return Err(ExchangeError::NotSent);
         }
         self.pass(self.cold_wait(request)).await?;
-        // A cold server takes each message by a leave of its own; closing the connection drops the
-        // transaction without one.
+        // Each message to a cold server needs its own permit, but closing the connection rolls back
+        // the transaction without one.
         let behind = behind.filter(|_| !self.cold_gate.is_counted());
         self.is_prepared = is_preparing(request);
         self.busy = true;
@@ -265,20 +268,20 @@
         Ok(answer)
     }
 
-    /// Lets one message pass, which must be sent at once. The zone's gate is asked last: it may
-    /// close while the other one makes the message wait.
+    /// Passes one message through both gates; it must then be sent without delay. The zone gate is
+    /// checked last because it may close while the message waits at the cold gate.
     async fn pass(&mut self, cold_wait: Patience) -> Result<(), ExchangeError> {
         let passed = self.cold_gate.pass(cold_wait).await;
         passed.map_err(ExchangeError::Cold)?;
         if self.zone_gate.is_closed() {
-            // A connection that is busy is closed, which drops its transaction too.
+            // A busy connection is not reused but closed, which also rolls back its transaction.
             self.busy = true;
             return Err(ExchangeError::NotSent);
         }
         Ok(())
     }
 
-    /// How a message waits for leave to send it to a cold server.
+    /// Returns how a message waits for a permit to be sent to a cold server.
     fn cold_wait(&self, request: &ServerRequest<'_>) -> Patience {
         match request {
             _ if self.state != TransactionState::Idle => Patience::Transaction,
@@ -287,7 +290,7 @@
         }
     }
 
-    /// Reads the answer of an own statement, which must leave no transaction open.
+    /// Reads the answer to one of the proxy's own statements, which must leave no open transaction.
     async fn skip_answer(&mut self) -> Result<(), ExchangeError> {
         let answer = self.read_answer().await;
         let answer = answer.map_err(|_| ExchangeError::Unclear)?;
@@ -347,7 +350,7 @@
     }
 }
 
-/// Whether it makes a session known to the connection, ahead of a statement.
+/// Whether the message prepares the connection's session state before a statement.
 fn is_preparing(request: &ServerRequest<'_>) -> bool {
     matches!(
         request,
@@ -355,7 +358,7 @@
     )
 }
 
-/// Whether it serves a change of the primary.
+/// Whether the message is part of a change of the primary.
 fn is_control_request(request: &ServerRequest<'_>) -> bool {
     matches!(
         request,
@@ -366,7 +369,7 @@
     )
 }
 
-/// An answer without an outcome says nothing of what was run.
+/// The error for an answer without an outcome: the statement may have run.
 fn no_outcome() -> ServerError {
     ServerError {
         class: ErrorClass::InDoubt,
--- a/crates/spurpier-pipeline/src/server/health.rs
+++ b/crates/spurpier-pipeline/src/server/health.rs
@@ -1,36 +1,36 @@
-//! What the exchanges with a server have shown.
+//! Health of a server, derived from the exchanges with it.
 
 use std::time::Duration;
 
 use spurpier_core::leader::ObservedPosition;
 use spurpier_core::time::Timestamp;
 
-/// The weight of the newest answer's time, in sixteenths.
+/// Weight of the newest sample in the moving average of answer times, in sixteenths.
 const NEWEST_WEIGHT: u32 = 2;
-/// The answer time that is taken before the first answer.
+/// Assumed answer time before the first answer.
 const INITIAL_ANSWER_TIME: Duration = Duration::from_millis(20);
-/// For how long a silent or full server is passed over.
+/// How long a silent or full server is avoided.
 const AVOIDANCE_PERIOD: Duration = Duration::from_millis(250);
 
-/// Messages in a row without an answer from which on a server counts as silent.
+/// Number of consecutive unanswered messages at which a server counts as silent.
 const SILENT_THRESHOLD: u32 = 2;
 
-/// What the exchanges with a server have shown.
+/// The health of a server as observed in exchanges with it.
 #[derive(Debug, Clone)]
 pub struct Health {
-    /// The smoothed time of its answers.
+    /// Exponential moving average of its answer times.
     pub answer_time: Duration,
-    /// Requests that run on it or wait for a connection to it.
+    /// Number of requests that run on it or wait for a connection to it.
     pub in_flight: usize,
-    /// What it was last seen to show of the group's log.
+    /// The position of the group's log that was last observed on it.
     pub shown: Option<ObservedPosition>,
-    /// Until when it is passed over.
+    /// The time until which other servers are preferred.
     pub avoided_until: Timestamp,
-    /// When the newest message left that it has answered.
+    /// Send time of the newest message that it has answered.
     pub answered_at: Option<Timestamp>,
-    /// Since when all messages to it have gone unanswered; none while it answers.
+    /// Start of the current series of unanswered messages; `None` while it answers.
     pub silent_since: Option<Timestamp>,
-    /// How many messages in a row have gone unanswered.
+    /// Number of consecutive unanswered messages.
     pub unanswered_count: u32,
 }
 
@@ -49,32 +49,32 @@
 }
 
 impl Health {
-    /// Takes in an answer to a message that left at `sent_at`.
+    /// Records an answer to a message that was sent at `sent_at`.
     pub fn record_answer(&mut self, sent_at: Timestamp) {
         self.answered_at = self.answered_at.max(Some(sent_at));
         self.silent_since = None;
         self.unanswered_count = 0;
     }
 
-    /// Whether it has left several messages in a row unanswered.
+    /// Whether several consecutive messages have gone unanswered.
     pub fn is_silent(&self) -> bool {
         self.unanswered_count >= SILENT_THRESHOLD
     }
 
-    /// Takes in how long a statement took that was run.
+    /// Records the duration of a statement that was run.
     pub fn record_run_time(&mut self, taken: Duration) {
         let kept = self.answer_time * (16 - NEWEST_WEIGHT) / 16;
         self.answer_time = kept + taken * NEWEST_WEIGHT / 16;
     }
 
-    /// Takes in that a message went unanswered or could not be sent.
+    /// Records that a message went unanswered or could not be sent.
     pub fn record_unanswered(&mut self, now: Timestamp) {
         self.silent_since.get_or_insert(now);
         self.unanswered_count += 1;
         self.avoid(now);
     }
 
-    /// Passes the server over for a while.
+    /// Avoids the server for `AVOIDANCE_PERIOD`.
     pub fn avoid(&mut self, now: Timestamp) {
         self.avoided_until = now + AVOIDANCE_PERIOD;
     }
--- a/crates/spurpier-pipeline/src/server/mod.rs
+++ b/crates/spurpier-pipeline/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! One server: what is known of it, and the connections to it.
+//! A database server: its directory entry, its health and the connections to it.
 
 mod connection;
 mod health;
@@ -23,16 +23,17 @@
 use crate::events;
 use crate::ports::{ServerEntry, ServerRole};
 
-/// What the directory last said of a server.
+/// The state of a server's entry as last read from the directory.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Listing {
-    /// The entry.
+    /// The last entry that was read.
     pub entry: ServerEntry,
     /// The version of its row.
     pub version: StoreVersion,
-    /// Since when it was seen to be draining or gone; a moment to come if its entry may return.
+    /// When it was observed to be draining or gone; a time in the future if its entry may return
+    /// until then.
     pub leaving_since: Option<Timestamp>,
-    /// Whether the entry is gone.
+    /// Whether the entry was removed.
     pub gone: bool,
 }
 
@@ -46,9 +47,9 @@
 /// One server of a group.
 #[derive(Debug)]
 pub struct Server {
-    /// Which life of which server it is.
+    /// The server and its incarnation.
     pub incarnation: Incarnation,
-    /// How far it is.
+    /// Its network distance from this node.
     pub distance: Distance,
     /// The connections to it.
     pub pool: Arc<Pool>,
@@ -58,7 +59,7 @@
 }
 
 impl Server {
-    /// A server that the directory lists.
+    /// Creates a server from its directory entry, with no recorded exchanges.
     pub fn new(listing: Listing, distance: Distance, pool: Arc<Pool>, clock: Clock) -> Self {
         Server {
             incarnation: listing.entry.incarnation.clone(),
@@ -70,48 +71,48 @@
         }
     }
 
-    /// What the directory last said.
+    /// Locks and returns the server's state in the directory.
     pub fn listing(&self) -> MutexGuard<'_, Listing> {
         self.listing.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What the exchanges with it have shown.
+    /// Locks and returns the server's health.
     pub fn health(&self) -> MutexGuard<'_, Health> {
         self.health.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether it may be given new work, but for the lead's.
+    /// Whether it may be given new work, other than the work of the leader.
     pub fn is_staying(&self) -> bool {
         self.listing().is_staying(self.clock.now())
     }
 
-    /// Whether its zone is evacuated.
+    /// Whether its zone is being evacuated or has been evacuated.
     pub fn is_evacuated(&self) -> bool {
         self.pool.zone_gate().phase() != ZonePhase::Open
     }
 
-    /// Whether the directory has dropped it.
+    /// Whether its entry was removed from the directory and is not expected to return.
     pub fn is_gone(&self) -> bool {
         let listing = self.listing();
         listing.gone && !listing.is_staying(self.clock.now())
     }
 
-    /// Whether it is cold.
+    /// Whether it is cold at the given time, so that messages to it are limited.
     pub fn is_cold(&self, now: Timestamp) -> bool {
         self.pool.cold_gate().is_cold(now)
     }
 
-    /// Whether it says that it leads the group.
+    /// Whether it reports that it is the leader of the group.
     pub fn claims_leadership(&self) -> bool {
         self.listing().entry.role == ServerRole::Primary
     }
 
-    /// For how long it has been leaving; none if it stays.
+    /// How long it has been leaving; `None` if it is staying.
     pub fn leaving_for(&self, now: Timestamp) -> Option<Duration> {
         self.listing().leaving_since.map(|since| now.since(since))
     }
 
-    /// What a read's placement must know of it.
+    /// Returns the data that the placement of reads uses.
     pub fn load(&self, is_leader: bool) -> ServerLoad {
         let (staying, slots) = {
             let listing = self.listing();
@@ -131,12 +132,13 @@
         }
     }
 
-    /// Takes in a whole answer to a message that left at `sent_at`.
+    /// Records a complete answer to a message that was sent at `sent_at`.
     pub fn record_answer(&self, sent_at: Timestamp) {
         self.health().record_answer(sent_at);
     }
 
-    /// Takes in that it did not answer. Once nothing may be sent to its zone, that says nothing of it.
+    /// Records that it did not answer. Ignored while the gate of its zone is closed, as a missing
+    /// answer is then no sign of a fault of the server.
     pub fn record_unanswered(&self, clock: &Clock) {
         if self.pool.zone_gate().is_closed() {
             return;
--- a/crates/spurpier-pipeline/src/server/pool/demand.rs
+++ b/crates/spurpier-pipeline/src/server/pool/demand.rs
@@ -1,15 +1,15 @@
-//! Who waits for connections, and how many are being opened for them.
+//! Counts of units of work that wait for connections and of connections being opened.
 
 use std::collections::HashMap;
 
-/// The units of one caller that wait, and the connections that are being opened for it.
+/// Number of waiting units and of connections being opened for one caller.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct CallerDemand {
     waiting: usize,
     opening: usize,
 }
 
-/// The units that wait for connections, by the name that a connection must have been opened with.
+/// Waiting units and connections being opened, by the caller that connections are opened for.
 #[derive(Debug, Default)]
 pub struct Demand {
     callers: HashMap<String, CallerDemand>,
@@ -17,34 +17,34 @@
 }
 
 impl Demand {
-    /// How many units wait.
+    /// Number of waiting units of all callers.
     pub fn waiting(&self) -> usize {
         self.waiting
     }
 
-    /// Counts a unit that waits.
+    /// Records that a unit starts to wait.
     pub fn start_waiting(&mut self, caller: &str) {
         self.waiting += 1;
         self.change(caller, |demand| demand.waiting += 1);
     }
 
-    /// Takes back a unit that waits no more.
+    /// Records that a unit stops waiting.
     pub fn stop_waiting(&mut self, caller: &str) {
         self.waiting -= 1;
         self.change(caller, |demand| demand.waiting -= 1);
     }
 
-    /// Counts a connection that is being opened for a caller.
+    /// Records that a connection is being opened for a caller.
     pub fn start_opening(&mut self, caller: &str) {
         self.change(caller, |demand| demand.opening += 1);
     }
 
-    /// Takes back a connection that is opened, or could not be.
+    /// Records that an opening has completed or failed.
     pub fn stop_opening(&mut self, caller: &str) {
         self.change(caller, |demand| demand.opening -= 1);
     }
 
-    /// Whether more units of a caller wait than connections are being opened for it.
+    /// Whether a caller has more waiting units than connections being opened for it.
     pub fn wants_opening(&self, caller: &str) -> bool {
         let demand = self.callers.get(caller);
         demand.is_some_and(|demand| demand.opening < demand.waiting)
--- a/crates/spurpier-pipeline/src/server/pool/mod.rs
+++ b/crates/spurpier-pipeline/src/server/pool/mod.rs
@@ -1,7 +1,7 @@
-//! The connections to one server and the units that use or await them.
+//! The connection pool of one server.
 //!
-//! A connection belongs to the caller that it was opened for. Where no more may be open, an unused
-//! one of another caller is closed in favour of a caller that has none.
+//! A connection belongs to the caller that it was opened for. When the pool is at its limit, an
+//! idle connection of another caller is closed in favour of a caller that has none.
 
 mod demand;
 mod open;
@@ -27,10 +27,10 @@
 use crate::ports::{ErrorClass, ServerDialect};
 use crate::tenant::UNNAMED_CALLER;
 
-/// The pauses before a server that has too many connections is asked for one again.
+/// Backoff before another connection is requested from a server that has too many.
 const INITIAL_FULL_DELAY: Duration = Duration::from_millis(60);
 const MAX_FULL_DELAY: Duration = Duration::from_millis(600);
-/// Why a unit got no connection.
+/// Why a unit of work could not acquire a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AcquireError {
     /// All connections were in use until the unit's deadline.
@@ -46,25 +46,25 @@
     pub address: SocketAddr,
     /// Its group.
     pub group: String,
-    /// Which life of which server it is.
+    /// The server and its incarnation.
     pub incarnation: Incarnation,
-    /// The gate in front of its zone.
+    /// The gate that closes when nothing may be sent to its zone.
     pub zone_gate: Arc<ZoneGate>,
-    /// Passed with each message that is sent to it.
+    /// The gate that each message to it passes, limiting messages while it is cold.
     pub cold_gate: Arc<ColdGate>,
 }
 
-/// What a unit needs of a connection.
+/// The requirements of a unit of work for a connection.
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectionNeed<'a> {
-    /// Whom it must have been opened for; none if that is all the same.
+    /// The caller that it must have been opened for; `None` if any caller is acceptable.
     pub caller: Option<&'a str>,
-    /// The session values that it should know.
+    /// The session values that should already be set on it.
     pub values: &'a Values,
 }
 
 impl ConnectionNeed<'_> {
-    /// What the proxy's own statements need.
+    /// Returns the requirements of the proxy's own statements.
     pub const fn own(values: &Values) -> ConnectionNeed<'_> {
         ConnectionNeed {
             caller: None,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Whom a connection is opened for.
+    /// The caller that a new connection is opened for.
     fn opener(&self) -> &str {
         self.caller.unwrap_or(UNNAMED_CALLER)
     }
@@ -82,31 +82,31 @@
     }
 }
 
-/// How often units took connections, and what that needed.
+/// Counts of connections taken from the pool, opened and displaced.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PoolUse {
     /// Connections taken.
     pub taken: u64,
-    /// Connections whose opening was begun.
+    /// Connections whose opening was started.
     pub opened: u64,
-    /// Unused connections of other callers that were closed for that.
+    /// Idle connections of other callers that were closed to make room.
     pub displaced: u64,
 }
 
-/// How many connections a pool has, and how many units wait for one.
+/// Numbers of connections in a pool and of units that wait for one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PoolCounts {
     /// Open or being opened.
     pub open: usize,
     /// Open and unused.
     pub idle: usize,
-    /// Units that wait.
+    /// Waiting units.
     pub waiting: usize,
-    /// The most that may be open.
+    /// Maximum number of open connections.
     pub limit: usize,
 }
 
-/// A connection that nobody uses.
+/// An unused connection and when it became unused.
 #[derive(Debug)]
 struct Idle {
     connection: ServerConnection,
@@ -115,21 +115,21 @@
 
 #[derive(Debug)]
 struct PoolInner {
-    /// The one that was given back last stands last.
+    /// Ordered by the time of return, the most recent last.
     idle: Vec<Idle>,
     total: usize,
-    /// Whether this pool is among the open ones.
+    /// Whether this pool is in the set of open pools.
     is_listed: bool,
     limit: usize,
-    /// Whether the server's life is over: nobody is given a connection any more.
+    /// Whether the server's incarnation has ended; no more connections are handed out.
     is_retired: bool,
     demand: Demand,
     uses: PoolUse,
-    /// The newest connection that could not be opened.
+    /// Time and cause of the newest failure to open a connection.
     failure: Option<(Timestamp, OpenError)>,
-    /// Until when no connection is opened, since the server has too many.
+    /// No connection is opened before this time, as the server has too many.
     full_until: Timestamp,
-    /// The pauses after refusals for too many connections.
+    /// Delays after refusals because of too many connections.
     full_backoff: Backoff,
 }
 
@@ -145,7 +145,7 @@
 }
 
 impl Pool {
-    /// An empty pool of at most `limit` connections; it is listed in `open_pools` while it has
+    /// Creates an empty pool of at most `limit` connections; it is in `open_pools` while it has
     /// any.
     pub fn new(
         target: Target,
@@ -180,18 +180,18 @@
         &self.target.zone_gate
     }
 
-    /// What each message to the server passes while it is cold.
+    /// The gate that limits messages to the server while it is cold.
     pub fn cold_gate(&self) -> &Arc<ColdGate> {
         &self.target.cold_gate
     }
 
-    /// Whether units wait for connections although as many as allowed are open.
+    /// Whether units wait for connections while the pool is at its limit and none is idle.
     pub fn is_crowded(&self) -> bool {
         let inner = self.lock();
         inner.idle.is_empty() && inner.total >= inner.limit && inner.demand.waiting() > 0
     }
 
-    /// How many connections there are, and how many units wait for one.
+    /// Returns the current numbers of connections and waiting units.
     pub fn counts(&self) -> PoolCounts {
         let inner = self.lock();
         PoolCounts {
@@ -202,7 +202,8 @@
         }
     }
 
-    /// Changes this node's share of the server's connections.
+    /// Changes this node's share of the server's connections, and closes idle connections beyond
+    /// it.
     pub fn set_limit(&self, limit: usize) {
         let surplus = {
             let mut inner = self.lock();
@@ -217,10 +218,10 @@
         self.freed.notify_waiters();
     }
 
-    /// Closes the connections that nobody has used for `limit`, but for one.
+    /// Closes connections that have been unused for `limit`, keeping one.
     ///
-    /// A server keeps the connections of a machine that lost power for a while, and takes no more
-    /// than its limit: what is not open then is free for the machine's next start.
+    /// A server keeps the connections of a machine that lost power open for a while and counts
+    /// them against its limit. Fewer open connections leave room for the machine's restart.
     fn close_unused(&self, limit: Duration) {
         let now = self.clock.now();
         let closed: Vec<Idle> = {
@@ -234,14 +235,15 @@
         drop(closed);
     }
 
-    /// Whether any connection is open or being opened; if not, the next one lists the pool anew.
+    /// Whether any connection is open or being opened. If not, the next one adds the pool to the
+    /// set of open pools again.
     fn is_open(&self) -> bool {
         let mut inner = self.lock();
         inner.is_listed = inner.total > 0;
         inner.is_listed
     }
 
-    /// Closes the idle connections, as for a server that is leaving or silent.
+    /// Closes all idle connections, for example of a server that is leaving or silent.
     pub fn close_idle(&self) {
         let closed = {
             let mut inner = self.lock();
@@ -252,25 +254,25 @@
         self.freed.notify_waiters();
     }
 
-    /// Takes in that the server's life is over: its connections are closed as they come back, and
-    /// who waits for one is told at once, rather than be led to the server's next life.
+    /// Marks the server's incarnation as ended. Connections are closed as they are returned, and
+    /// waiting units fail at once rather than reach the server's next incarnation.
     pub fn retire(&self) {
         self.lock().is_retired = true;
         self.set_limit(0);
     }
 
-    /// How often units took connections since this was asked last, and what that needed.
+    /// Returns the usage counts since the last call, and resets them.
     pub fn take_uses(&self) -> PoolUse {
         std::mem::take(&mut self.lock().uses)
     }
 
     /// Waits for a connection that meets the need, at most until `deadline`.
     ///
-    /// A connection that is opened for a unit which then gives up stays open for the next one.
+    /// If the unit gives up, a connection that is being opened for it stays in the pool.
     ///
     /// # Errors
     ///
-    /// [`AcquireError`].
+    /// [`AcquireError`] if the deadline passes or a connection cannot be opened.
     pub async fn acquire(
         self: &Arc<Self>,
         need: ConnectionNeed<'_>,
@@ -279,7 +281,7 @@
         let started = self.clock.now();
         let _waiting = Waiting::new(self, need.opener());
         loop {
-            // Told of what is freed from here on, also while this looks.
+            // Registers for notifications before the checks, so that none is missed.
             let mut freed = std::pin::pin!(self.freed.notified());
             freed.as_mut().enable();
             if self.lock().is_retired {
@@ -327,7 +329,7 @@
             let mut connection = {
                 let mut inner = self.lock();
                 let index = best_match(&inner.idle, need)?;
-                // Keeps the order by age.
+                // `remove` preserves the order by idle time, unlike `swap_remove`.
                 inner.idle.remove(index).connection
             };
             if connection.is_alive() {
@@ -338,8 +340,8 @@
         }
     }
 
-    /// One more connection, if not enough are being opened for the caller already. Where no more
-    /// may be open it takes the place of the connection that was unused for longest.
+    /// Starts to open a connection unless enough are being opened for the caller already. At the
+    /// limit it replaces the connection that has been idle for longest.
     fn start_opening(self: &Arc<Self>, need: &ConnectionNeed<'_>) -> Option<Opening> {
         let (displaced, was_listed) = {
             let mut inner = self.lock();
@@ -383,8 +385,8 @@
         self.freed.notify_waiters();
     }
 
-    /// Takes in that a connection could not be opened. A server that has too many is not asked
-    /// again at once: other nodes must close some first.
+    /// Records that a connection could not be opened. If the server has too many, the next attempt
+    /// is delayed, as other nodes must close some first.
     fn record_failure(&self, error: OpenError) {
         let now = self.clock.now();
         let mut inner = self.lock();
@@ -405,7 +407,7 @@
     }
 }
 
-/// The unused connection that meets the need with the fewest statements before the session's work.
+/// Index of the idle connection that meets the need with the fewest preparing statements.
 fn best_match(idle: &[Idle], need: &ConnectionNeed<'_>) -> Option<usize> {
     let cost = |idle: &Idle| match &idle.connection.values {
         known if known == need.values => 0,
@@ -419,7 +421,7 @@
         .map(|(index, _)| index)
 }
 
-/// Counts a unit that waits.
+/// Counts a unit as waiting until dropped.
 struct Waiting<'a> {
     pool: &'a Pool,
     caller: &'a str,
--- a/crates/spurpier-pipeline/src/server/pool/opening.rs
+++ b/crates/spurpier-pipeline/src/server/pool/opening.rs
@@ -1,4 +1,4 @@
-//! Connections that are being opened, and those that units hold.
+//! Connections that are being opened, and connections that are leased to units of work.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use super::Pool;
 use crate::server::connection::{OpenError, ServerConnection};
 
-/// How long opening a connection may take.
+/// Maximum time to open a connection.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// A connection that is being opened.
@@ -17,7 +17,7 @@
 }
 
 impl Opening {
-    /// A connection to be opened for a caller; the pool counts it already.
+    /// Creates an opening for a caller; the pool must have counted the connection already.
     pub fn new(pool: &Arc<Pool>, caller: &str) -> Self {
         Opening {
             pool: Arc::clone(pool),
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Opens it and gives it to the pool.
+    /// Opens the connection and hands it to the pool; a failure is recorded in the pool.
     pub async fn run(mut self) {
         let pool = Arc::clone(&self.pool);
         let dialect = Arc::clone(&pool.dialect);
@@ -55,7 +55,8 @@
     }
 }
 
-/// A connection for one unit alone. Dropping it closes the connection unless it is reusable.
+/// Exclusive use of a connection by one unit of work. Dropping it returns the connection to the
+/// pool if it is reusable, and closes it otherwise.
 #[derive(Debug)]
 pub struct Lease {
     pool: Arc<Pool>,
@@ -63,7 +64,7 @@
 }
 
 impl Lease {
-    /// Takes a connection of the pool.
+    /// Leases a connection that was taken from the pool.
     pub fn new(pool: &Arc<Pool>, connection: ServerConnection) -> Self {
         Lease {
             pool: Arc::clone(pool),
@@ -71,7 +72,7 @@
         }
     }
 
-    /// The connection; none after it was given up.
+    /// The leased connection; `None` if it was given up.
     pub fn connection(&mut self) -> Option<&mut ServerConnection> {
         self.connection.as_mut()
     }
