--- a/crates/spurpier-pipeline/src/server/health.rs
+++ b/crates/spurpier-pipeline/src/server/health.rs
@@ -1,81 +1,81 @@
-//! What the exchanges with a server have shown.
+//! Health of a server, derived from the exchanges with it.
 
 use std::time::Duration;
 
 use spurpier_core::leader::ObservedPosition;
 use spurpier_core::time::Timestamp;
 
-/// The weight of the newest answer's time, in sixteenths.
+/// Weight of the newest sample in the moving average of answer times, in sixteenths.
 const NEWEST_WEIGHT: u32 = 2;
-/// The answer time that is taken before the first answer.
-const FIRST_ANSWER_TIME: Duration = Duration::from_millis(20);
-/// For how long a silent or full server is passed over.
-const AVOIDANCE: Duration = Duration::from_millis(250);
+/// Assumed answer time before the first answer.
+const INITIAL_ANSWER_TIME: Duration = Duration::from_millis(20);
+/// How long a silent or full server is avoided.
+const AVOIDANCE_PERIOD: Duration = Duration::from_millis(250);
 
-/// Messages in a row without an answer from which on a server counts as silent.
-const SILENT_AFTER: u32 = 2;
+/// Number of consecutive unanswered messages at which a server counts as silent.
+const SILENT_THRESHOLD: u32 = 2;
 
-/// What the exchanges with a server have shown.
+/// The health of a server as observed in exchanges with it.
 #[derive(Debug, Clone)]
 pub struct Health {
-    /// The smoothed time of its answers.
+    /// Exponential moving average of its answer times.
     pub answer_time: Duration,
-    /// Requests that run on it or wait for a connection to it.
+    /// Number of requests that run on it or wait for a connection to it.
     pub in_flight: usize,
-    /// What it was last seen to show of the group's log.
+    /// The position of the group's log that was last observed on it.
     pub shown: Option<ObservedPosition>,
-    /// Until when it is passed over.
+    /// The time until which other servers are preferred.
     pub avoided_until: Timestamp,
-    /// When the newest message left that it has answered.
+    /// Send time of the newest message that it has answered.
     pub answered_at: Option<Timestamp>,
-    /// Since when all messages to it have gone unanswered; none while it answers.
+    /// Start of the current series of unanswered messages; `None` while it answers.
     pub silent_since: Option<Timestamp>,
-    /// How many messages in a row have gone unanswered.
-    pub silences: u32,
+    /// Number of consecutive unanswered messages.
+    pub unanswered_count: u32,
 }
 
 impl Default for Health {
     fn default() -> Self {
         Health {
-            answer_time: FIRST_ANSWER_TIME,
+            answer_time: INITIAL_ANSWER_TIME,
             in_flight: 0,
             shown: None,
             avoided_until: Timestamp::ZERO,
             answered_at: None,
             silent_since: None,
-            silences: 0,
+            unanswered_count: 0,
         }
     }
 }
 
 impl Health {
-    /// Takes in an answer to a message that left at `sent_at`.
-    pub fn note_answer(&mut self, sent_at: Timestamp) {
+    /// Records an answer to a message that was sent at `sent_at`.
+    pub fn record_answer(&mut self, sent_at: Timestamp) {
         self.answered_at = self.answered_at.max(Some(sent_at));
         self.silent_since = None;
-        self.silences = 0;
+        self.unanswered_count = 0;
     }
 
-    /// Whether it has left several messages in a row unanswered.
+    /// Whether several consecutive messages have gone unanswered.
     pub fn is_silent(&self) -> bool {
-        self.silences >= SILENT_AFTER
+        self.unanswered_count >= SILENT_THRESHOLD
     }
 
-    /// Takes in how long a statement took that was run.
-    pub fn note_time(&mut self, taken: Duration) {
+    /// Records the duration of a statement that was run.
+    pub fn record_run_time(&mut self, taken: Duration) {
         let kept = self.answer_time * (16 - NEWEST_WEIGHT) / 16;
         self.answer_time = kept + taken * NEWEST_WEIGHT / 16;
     }
 
-    /// Takes in that a message went unanswered or could not be sent.
-    pub fn note_silence(&mut self, now: Timestamp) {
+    /// Records that a message went unanswered or could not be sent.
+    pub fn record_unanswered(&mut self, now: Timestamp) {
         self.silent_since.get_or_insert(now);
-        self.silences += 1;
+        self.unanswered_count += 1;
         self.avoid(now);
     }
 
-    /// Passes the server over for a while.
+    /// Avoids the server for `AVOIDANCE_PERIOD`.
     pub fn avoid(&mut self, now: Timestamp) {
-        self.avoided_until = now + AVOIDANCE;
+        self.avoided_until = now + AVOIDANCE_PERIOD;
     }
 }
