--- a/crates/spurpier-pipeline/src/directory/gone.rs
+++ b/crates/spurpier-pipeline/src/directory/gone.rs
@@ -11,7 +11,7 @@
 
 /// For how long a server that left the directory is remembered: it may still run, and it may hold
 /// commits that a successor must not lack.
-const GONE_MEMORY: Duration = Duration::from_secs(30);
+const GONE_RETENTION: Duration = Duration::from_secs(30);
 /// How often servers are forgotten.
 const FORGET_INTERVAL: Duration = Duration::from_secs(5);
 
@@ -39,7 +39,7 @@
     let gone = group.servers().into_iter();
     for server in gone.filter(|server| server.is_gone()) {
         let leaving_for = server.leaving_for(now);
-        if leaving_for.is_some_and(|time| time > GONE_MEMORY) {
+        if leaving_for.is_some_and(|time| time > GONE_RETENTION) {
             group.remove(&server.incarnation);
         } else {
             has_gone = true;
--- a/crates/spurpier-pipeline/src/directory/mod.rs
+++ b/crates/spurpier-pipeline/src/directory/mod.rs
@@ -40,13 +40,13 @@
 struct State {
     roster: Roster,
     /// Servers of groups that the configuration does not name, by their names.
-    set_aside: BTreeMap<String, Listed>,
+    set_aside: BTreeMap<String, ListedServer>,
     /// Why rows name no server to use, by their keys.
     unusable: BTreeMap<String, UnusableEntry>,
 }
 
 /// A server's entry and the version of its row.
-struct Listed {
+struct ListedServer {
     entry: ServerEntry,
     version: StoreVersion,
 }
@@ -68,12 +68,12 @@
     }
 
     /// Takes in the whole table as of a version.
-    fn take_all(&self, rows: &[Row], version: StoreVersion) {
+    fn replace_all(&self, rows: &[Row], version: StoreVersion) {
         let mut state = self.lock();
         let mut read: Vec<ReadRow<'_>> = rows.iter().map(ReadRow::new).collect();
-        let started = starts_told(read.iter().filter_map(|read| read.read.as_ref()));
+        let started = count_start_times(read.iter().filter_map(|read| read.read.as_ref()));
         require_starts(&mut read, started);
-        let (roster_rows, mut entries) = self.note_read(&mut state, read);
+        let (roster_rows, mut entries) = self.record_read(&mut state, read);
         let changes = state.roster.replace(roster_rows, version);
         let State {
             roster, unusable, ..
@@ -89,30 +89,30 @@
             unusable = state.unusable.len(),
             unnamed = state.set_aside.len()
         );
-        self.tell_unusable(&state);
+        self.update_unusable_metrics(&state);
     }
 
     /// Takes in rows that have changed or are gone.
-    fn take_changes(&self, rows: &[Row]) {
+    fn apply_changes(&self, rows: &[Row]) {
         let mut state = self.lock();
         let mut read: Vec<ReadRow<'_>> = rows.iter().map(ReadRow::new).collect();
         if read.iter().any(ReadRow::lacks_start) {
             require_starts(&mut read, state.roster.count_start_times());
         }
-        let (roster_rows, mut entries) = self.note_read(&mut state, read);
+        let (roster_rows, mut entries) = self.record_read(&mut state, read);
         for row in roster_rows {
             let change = state.roster.apply(row);
             self.apply(&mut state, change, &mut entries, LogServers::Each);
         }
-        self.tell_unusable(&state);
+        self.update_unusable_metrics(&state);
     }
 
     /// Notes which rows cannot be used; gives all rows to the roster, and the entries of the others.
-    fn note_read(
+    fn record_read(
         &self,
         state: &mut State,
         read: Vec<ReadRow<'_>>,
-    ) -> (Vec<RosterRow>, BTreeMap<String, Listed>) {
+    ) -> (Vec<RosterRow>, BTreeMap<String, ListedServer>) {
         let mut entries = BTreeMap::new();
         let mut rows = Vec::with_capacity(read.len());
         for ReadRow { row, read } in read {
@@ -129,7 +129,7 @@
                 Some(Ok(entry)) => {
                     let endpoint = endpoint_of(&entry);
                     let version = row.version;
-                    entries.insert(row.key.clone(), Listed { entry, version });
+                    entries.insert(row.key.clone(), ListedServer { entry, version });
                     RowContent::Server(endpoint)
                 }
             };
@@ -149,14 +149,14 @@
         &self,
         state: &mut State,
         change: RosterChange,
-        entries: &mut BTreeMap<String, Listed>,
+        entries: &mut BTreeMap<String, ListedServer>,
         log: LogServers,
     ) {
         match change {
             RosterChange::Nothing => {}
             RosterChange::Join(present) | RosterChange::Update(present) => {
                 if let Some(listed) = entries.remove(present.incarnation.name()) {
-                    self.enter(state, listed, log);
+                    self.add_to_group(state, listed, log);
                 }
             }
             RosterChange::Restart { former, present } => {
@@ -169,30 +169,32 @@
                         address = present.address
                     );
                 }
-                self.end_life(&former);
+                self.remove_former_incarnation(&former);
                 if let Some(listed) = entries.remove(present.incarnation.name()) {
-                    self.enter(state, listed, log);
+                    self.add_to_group(state, listed, log);
                 }
             }
             RosterChange::Leave(endpoint) => {
                 state.set_aside.remove(endpoint.incarnation.name());
                 state.unusable.remove(endpoint.incarnation.name());
                 let now = self.context.clock.now();
-                self.leave(&endpoint, self.gone_at(now));
+                self.mark_gone(&endpoint, self.gone_at(now));
             }
             RosterChange::Invalidate(endpoint) => {
                 state.set_aside.remove(endpoint.incarnation.name());
-                self.leave(&endpoint, self.context.clock.now());
+                self.mark_gone(&endpoint, self.context.clock.now());
             }
         }
     }
 
     /// Takes a server into its group, if the configuration names that.
-    fn enter(&self, state: &mut State, listed: Listed, log: LogServers) {
-        let Listed { entry, version } = listed;
+    fn add_to_group(&self, state: &mut State, listed: ListedServer, log: LogServers) {
+        let ListedServer { entry, version } = listed;
         if !self.is_named(&entry.group) {
             let name = entry.incarnation.name().to_owned();
-            state.set_aside.insert(name, Listed { entry, version });
+            state
+                .set_aside
+                .insert(name, ListedServer { entry, version });
             return;
         }
         state.set_aside.remove(entry.incarnation.name());
@@ -210,20 +212,20 @@
     }
 
     /// Takes the servers into their groups that the configuration has come to name.
-    fn enter_named(&self) {
+    fn add_newly_named(&self) {
         let mut state = self.lock();
         let set_aside = std::mem::take(&mut state.set_aside);
         if set_aside.is_empty() {
             return;
         }
         for listed in set_aside.into_values() {
-            self.enter(&mut state, listed, LogServers::Summary);
+            self.add_to_group(&mut state, listed, LogServers::Summary);
         }
-        self.tell_unusable(&state);
+        self.update_unusable_metrics(&state);
     }
 
     /// Ends what is known of a server's former life: who waits for it or uses it is told at once.
-    fn end_life(&self, former: &ServerEndpoint) {
+    fn remove_former_incarnation(&self, former: &ServerEndpoint) {
         if let Some(group) = self.context.known_group(&former.group) {
             group.remove(&former.incarnation);
         }
@@ -290,7 +292,7 @@
     }
 
     /// Takes in that no row names a server any more, which counts as gone from a moment on.
-    fn leave(&self, endpoint: &ServerEndpoint, gone_at: Timestamp) {
+    fn mark_gone(&self, endpoint: &ServerEndpoint, gone_at: Timestamp) {
         let Some(group) = self.context.known_group(&endpoint.group) else {
             return;
         };
@@ -320,7 +322,9 @@
     /// entries of servers that live may have lapsed, and they come back.
     fn gone_at(&self, now: Timestamp) -> Timestamp {
         let regained_at = *locked(&self.context.store_regained_at);
-        regained_at.map_or(now, |regained_at| now.max(regained_at + RETURN_LIMIT))
+        regained_at.map_or(now, |regained_at| {
+            now.max(regained_at + ENTRY_RETURN_TIMEOUT)
+        })
     }
 
     fn log_unusable(&self, key: &str, version: StoreVersion, why: UnusableEntry) {
@@ -338,7 +342,7 @@
         }
     }
 
-    fn tell_unusable(&self, state: &State) {
+    fn update_unusable_metrics(&self, state: &State) {
         let mut counts: BTreeMap<&'static str, usize> = BTreeMap::new();
         for why in state.unusable.values() {
             *counts.entry(why.text()).or_default() += 1;
@@ -384,19 +388,19 @@
 }
 
 /// How many of these entries tell when their servers started, and how many do not.
-fn starts_told<'a>(
+fn count_start_times<'a>(
     read: impl Iterator<Item = &'a Result<ServerEntry, UnusableEntry>>,
 ) -> (usize, usize) {
     let entries = read.filter_map(|read| read.as_ref().ok());
-    let (told, untold): (Vec<&ServerEntry>, Vec<&ServerEntry>) =
+    let (with_start, without_start): (Vec<&ServerEntry>, Vec<&ServerEntry>) =
         entries.partition(|entry| entry.incarnation.started_ms().is_some());
-    (told.len(), untold.len())
+    (with_start.len(), without_start.len())
 }
 
 /// Where most servers tell when they started, an entry that does not is none of a server: its lives
 /// could not be told apart. A platform whose servers do not tell it never uses a name again.
-fn require_starts(read: &mut [ReadRow<'_>], (told, untold): (usize, usize)) {
-    if told <= untold {
+fn require_starts(read: &mut [ReadRow<'_>], (with_start, without_start): (usize, usize)) {
+    if with_start <= without_start {
         return;
     }
     for row in read.iter_mut().filter(|row| row.lacks_start()) {
@@ -410,18 +414,19 @@
 impl RowSink for ServerSink {
     fn told_form(&self, rows: Vec<Row>) -> Vec<Row> {
         let entries = &self.0.context.entries;
-        let told = rows.into_iter();
-        told.map(|row| server_rows::told_form(entries.as_ref(), row))
+        let reported = rows.into_iter();
+        reported
+            .map(|row| server_rows::told_form(entries.as_ref(), row))
             .collect()
     }
 
     fn replace(&mut self, rows: &[Row], version: StoreVersion) {
-        self.0.take_all(rows, version);
+        self.0.replace_all(rows, version);
         self.0.context.directory_known.send_replace(true);
     }
 
     fn change(&mut self, rows: &[Row]) {
-        self.0.take_changes(rows);
+        self.0.apply_changes(rows);
     }
 }
 
@@ -429,7 +434,7 @@
 pub async fn follow_named_groups(directory: Arc<Directory>) {
     let mut configuration = directory.context.configuration.subscribe();
     loop {
-        directory.enter_named();
+        directory.add_newly_named();
         if configuration.changed().await.is_err() {
             return;
         }
@@ -437,7 +442,7 @@
 }
 
 /// How long after the store's return a server's entry that lapsed may take to come back.
-const RETURN_LIMIT: Duration = Duration::from_millis(2_500);
+const ENTRY_RETURN_TIMEOUT: Duration = Duration::from_millis(2_500);
 fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/spurpier-pipeline/src/follow/mod.rs
+++ b/crates/spurpier-pipeline/src/follow/mod.rs
@@ -178,7 +178,7 @@
             tokio::time::sleep(listed_in).await;
         } else {
             let limit = Instant::now() + listed_in + limit;
-            self.context.homes.await_list(limit).await;
+            self.context.homes.wait_for_list(limit).await;
         }
     }
 
--- a/crates/spurpier-pipeline/src/forward/caller.rs
+++ b/crates/spurpier-pipeline/src/forward/caller.rs
@@ -67,7 +67,7 @@
 /// Waits until this node has read the list of nodes, which it lacks right after its start.
 pub(super) async fn await_node_list(unit: &Unit) {
     let limit = unit.context.clock.instant(unit.deadlines.wait_until);
-    unit.context.homes.await_list(limit).await;
+    unit.context.homes.wait_for_list(limit).await;
 }
 
 /// Runs a statement on this node's connections, or relays it to another home that is better able
--- a/crates/spurpier-pipeline/src/forward/server.rs
+++ b/crates/spurpier-pipeline/src/forward/server.rs
@@ -235,7 +235,7 @@
     async fn assign_watchers(&self, name: &str, zone: &str, wait: Duration) -> Reply {
         let homes = &self.context.homes;
         homes
-            .await_list(Instant::now() + wait.min(MAX_UPDATE_WAIT))
+            .wait_for_list(Instant::now() + wait.min(MAX_UPDATE_WAIT))
             .await;
         homes
             .watchers_for(name, zone)
--- a/crates/spurpier-pipeline/src/homes/authorities.rs
+++ b/crates/spurpier-pipeline/src/homes/authorities.rs
@@ -4,15 +4,15 @@
 use std::sync::Arc;
 
 use super::chosen::{PeerNode, peer_node};
-use super::{Homes, staying};
+use super::{Homes, nodes_not_leaving};
 use crate::node_entry::{ListedNode, NodeEntry};
 use crate::quota::Scope;
 
 /// What nodes are ranked for as those that count operations, before the seat or the zone.
-const COUNTED_SUBJECT: &str = "quota";
+const QUOTA_SUBJECT: &str = "quota";
 /// How many nodes are ranked for a seat: the second and third take the place of those that cannot
 /// be reached.
-const AUTHORITIES: usize = 3;
+const AUTHORITY_CANDIDATES: usize = 3;
 
 impl Homes {
     /// The nodes that may count tenants' operations for a scope, in the order in which all its nodes
@@ -25,7 +25,7 @@
         let Some(nodes) = &inner.nodes else {
             return Arc::new(vec![peer_node(&self.own_name, &self.own)]);
         };
-        let mut nodes = staying(nodes);
+        let mut nodes = nodes_not_leaving(nodes);
         nodes.entry(&self.own_name).or_insert(&self.own);
         let ranked = match scope {
             Scope::Seat(seat) => self.rank_for_seat(&nodes, seat),
@@ -55,14 +55,16 @@
     }
 
     fn rank_for_seat(&self, nodes: &BTreeMap<&str, &NodeEntry>, seat: u8) -> Vec<PeerNode> {
-        let subject = format!("{COUNTED_SUBJECT}{seat}");
-        self.place.rank_apart(nodes, &subject, AUTHORITIES)
+        let subject = format!("{QUOTA_SUBJECT}{seat}");
+        self.locality
+            .rank_diverse(nodes, &subject, AUTHORITY_CANDIDATES)
     }
 
     fn rank_in_zone(&self, nodes: &BTreeMap<&str, &NodeEntry>) -> Vec<PeerNode> {
         let in_zone = nodes.iter().filter(|(_, node)| node.zone == self.own.zone);
         let in_zone = in_zone.map(|(name, node)| (*name, *node)).collect();
-        let subject = format!("{COUNTED_SUBJECT} {}", self.own.zone);
-        self.place.rank_apart(&in_zone, &subject, AUTHORITIES)
+        let subject = format!("{QUOTA_SUBJECT} {}", self.own.zone);
+        self.locality
+            .rank_diverse(&in_zone, &subject, AUTHORITY_CANDIDATES)
     }
 }
--- a/crates/spurpier-pipeline/src/homes/chosen.rs
+++ b/crates/spurpier-pipeline/src/homes/chosen.rs
@@ -17,7 +17,7 @@
 /// Nodes with less than this share of the widest link of their zone are watchers only if there are
 /// not enough others. A watcher tells its followers what changes: 1,400 more routes are 69 KB for
 /// each, 1.4 s of a link of 20 Mbit/s for 49 of them.
-const WIDE_LINK: f64 = 0.5;
+const MIN_WIDE_LINK_SHARE: f64 = 0.5;
 
 /// A node that other nodes can reach.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -98,7 +98,7 @@
 
 /// Where this node stands among the others.
 #[derive(Debug)]
-pub struct OwnPlace {
+pub struct OwnLocality {
     name: String,
     zone: String,
     region: String,
@@ -106,10 +106,10 @@
     regions: BTreeMap<String, String>,
 }
 
-impl OwnPlace {
+impl OwnLocality {
     /// The place of the node with these settings.
     pub fn new(settings: &PipelineSettings) -> Self {
-        OwnPlace {
+        OwnLocality {
             name: settings.node.name.clone(),
             zone: settings.node.zone.clone(),
             region: settings.node.region.clone(),
@@ -158,7 +158,7 @@
 
     /// Puts nodes at the same distance in this node's own order, so that those of a zone do not all
     /// ask the same one first.
-    pub fn spread(&self, nodes: &mut [PeerNode]) {
+    pub fn sort_for_own_node(&self, nodes: &mut [PeerNode]) {
         let own = subject_digest(&self.name);
         nodes.sort_by_cached_key(|node| {
             let rank = rendezvous_score(own, NodeKey(subject_digest(&node.name)));
@@ -168,7 +168,7 @@
 
     /// So many nodes for a subject: the first-ranked one, those with wide links first, and others
     /// that stand apart from it and from each other.
-    pub fn rank_apart(
+    pub fn rank_diverse(
         &self,
         nodes: &BTreeMap<&str, &NodeEntry>,
         subject: &str,
@@ -176,16 +176,16 @@
     ) -> Vec<PeerNode> {
         let members: Vec<_> = nodes.iter().map(|(name, node)| (*name, *node)).collect();
         let order = rank_wide_first(&members, subject);
-        let places: Vec<NodeLocality<'_>> = order
+        let localities: Vec<NodeLocality<'_>> = order
             .iter()
-            .map(|index| self.place_of(members[*index].1))
+            .map(|index| self.locality_of(members[*index].1))
             .collect();
-        let chosen = select_diverse_nodes(&places, count).into_iter();
+        let chosen = select_diverse_nodes(&localities, count).into_iter();
         let chosen = chosen.map(|rank| members[order[rank]]);
         chosen.map(|(name, node)| peer_node(name, node)).collect()
     }
 
-    fn place_of<'a>(&'a self, node: &'a NodeEntry) -> NodeLocality<'a> {
+    fn locality_of<'a>(&'a self, node: &'a NodeEntry) -> NodeLocality<'a> {
         NodeLocality {
             zone: &node.zone,
             region: self.regions.get(&node.zone).map(String::as_str),
@@ -220,7 +220,7 @@
     let widest = order.iter().map(|index| link_mbps(*index));
     let widest = widest.fold(0.0, f64::max);
     // Stable: the order by ranks holds.
-    order.sort_by_key(|index| link_mbps(*index) < widest * WIDE_LINK);
+    order.sort_by_key(|index| link_mbps(*index) < widest * MIN_WIDE_LINK_SHARE);
     order
 }
 
--- a/crates/spurpier-pipeline/src/homes/fleet.rs
+++ b/crates/spurpier-pipeline/src/homes/fleet.rs
@@ -12,7 +12,7 @@
 use spurpier_core::membership::NodeKey;
 use spurpier_core::ranks::{RankChange, RankTable, Rankable};
 
-use super::chosen::{ChosenNodes, OwnPlace, PeerNode, peer_node};
+use super::chosen::{ChosenNodes, OwnLocality, PeerNode, peer_node};
 use crate::node_entry::NodeEntry;
 
 /// A group and its homes.
@@ -28,7 +28,7 @@
 
 /// What a batch of changes has come to.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub(super) struct Settled {
+pub(super) struct FleetChanges {
     /// The groups whose homes have changed.
     pub(super) groups: Vec<String>,
     /// Whether this node has become a home of a group, or is one no more.
@@ -37,7 +37,7 @@
 
 /// What the number of homes in each zone hangs on beside a group's connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Shape {
+struct FleetShape {
     /// How many nodes there are; one more than the most homes stands for all greater numbers.
     nodes: usize,
     zones: usize,
@@ -57,7 +57,7 @@
     served_names: Option<Arc<[String]>>,
     /// The groups whose first ranks have moved since the last batch was settled.
     moved: BTreeSet<usize>,
-    shape: Shape,
+    shape: FleetShape,
 }
 
 impl Fleet {
@@ -71,7 +71,7 @@
             served: BTreeSet::new(),
             served_names: None,
             moved: BTreeSet::new(),
-            shape: Shape { nodes: 0, zones: 0 },
+            shape: FleetShape { nodes: 0, zones: 0 },
         }
     }
 
@@ -80,17 +80,17 @@
         let key = NodeKey(subject_digest(name));
         if self.nodes.remove(&key).is_some() {
             let moved = self.ranks.remove(key);
-            self.note_moved(&moved);
+            self.record_moved(&moved);
         }
         let Some(entry) = entry else {
             return;
         };
         self.nodes.insert(key, peer_node(name, entry));
         let moved = self.ranks.add(&entry.zone, entry.ranked(key));
-        self.note_moved(&moved);
+        self.record_moved(&moved);
     }
 
-    fn note_moved(&mut self, moved: &[RankChange]) {
+    fn record_moved(&mut self, moved: &[RankChange]) {
         let groups = &self.groups;
         let first = moved
             .iter()
@@ -99,16 +99,16 @@
     }
 
     /// Puts the homes together anew that a batch of changes has moved.
-    pub(super) fn settle(&mut self, place: &OwnPlace) -> Settled {
+    pub(super) fn settle(&mut self, locality: &OwnLocality) -> FleetChanges {
         let shape = self.current_shape();
         if shape != self.shape {
             self.shape = shape;
             self.moved.extend(0..self.groups.len());
         }
-        let mut settled = Settled::default();
+        let mut settled = FleetChanges::default();
         for number in std::mem::take(&mut self.moved) {
             let was_own = self.groups[number].homes.is_own;
-            if self.choose(number, place) {
+            if self.choose(number, locality) {
                 let group = &self.groups[number];
                 settled.groups.push(group.name.clone());
                 settled.has_own_changed |= group.homes.is_own != was_own;
@@ -117,8 +117,8 @@
         settled
     }
 
-    fn current_shape(&self) -> Shape {
-        Shape {
+    fn current_shape(&self) -> FleetShape {
+        FleetShape {
             nodes: self.ranks.node_count().min(MAX_HOMES + 1),
             zones: self.ranks.zone_count(),
         }
@@ -129,13 +129,13 @@
         &mut self,
         group: &str,
         connections: usize,
-        place: &OwnPlace,
+        locality: &OwnLocality,
     ) -> Arc<ChosenNodes> {
         let known = self.numbers.get(group).copied();
         let number = known.unwrap_or_else(|| self.add_group(group));
         if known.is_none() || self.groups[number].connections != connections {
             self.groups[number].connections = connections;
-            self.choose(number, place);
+            self.choose(number, locality);
         }
         Arc::clone(&self.groups[number].homes)
     }
@@ -163,7 +163,7 @@
     }
 
     /// Puts a group's homes together from the ranks; tells whether they have changed.
-    fn choose(&mut self, number: usize, place: &OwnPlace) -> bool {
+    fn choose(&mut self, number: usize, locality: &OwnLocality) -> bool {
         let connections = self.groups[number].connections;
         let (nodes, zones) = (self.ranks.node_count(), self.ranks.zone_count());
         let per_zone = homes_per_zone(connections, nodes, zones);
@@ -174,7 +174,7 @@
             nodes
         });
         let chosen = ranked.map(|node| self.nodes[&node.key()].clone());
-        let homes = place.gather(chosen.collect());
+        let homes = locality.gather(chosen.collect());
         let is_new = if homes.is_own {
             self.served.insert(number)
         } else {
--- a/crates/spurpier-pipeline/src/homes/mod.rs
+++ b/crates/spurpier-pipeline/src/homes/mod.rs
@@ -20,7 +20,7 @@
 use tokio::time::{Instant, timeout_at};
 
 pub use self::chosen::{ChosenNodes, Home, PeerNode};
-use self::chosen::{OwnPlace, peer_node};
+use self::chosen::{OwnLocality, peer_node};
 use self::fleet::Fleet;
 use crate::forward::{NodeEndpoint, WatcherAssignment};
 use crate::node_entry::{LeaseScope, ListedNode, NodeEntry};
@@ -62,7 +62,7 @@
 impl FormerEntry {
     /// Whether the node may hold the lease of a group.
     fn may_hold(&self, group: &str, now: Timestamp) -> bool {
-        let has_ended = now.since(self.since) >= LEASES_END;
+        let has_ended = now.since(self.since) >= FORMER_LEASE_TTL;
         !has_ended && (self.of_lost_era || self.entry.leases.contains(group))
     }
 }
@@ -95,7 +95,7 @@
     }
 
     /// Takes in the version of this node's own row: writes that replace an older one are over.
-    fn note_own_version(&mut self, version: StoreVersion) {
+    fn record_own_version(&mut self, version: StoreVersion) {
         self.own_writes.retain(|write| write.replaced >= version);
     }
 
@@ -104,7 +104,7 @@
         if name == self.own_name
             && let Some(node) = &node
         {
-            self.note_own_version(node.version);
+            self.record_own_version(node.version);
         }
         let nodes = self.nodes.get_or_insert_default();
         let before = match &node {
@@ -113,11 +113,11 @@
         };
         let after = node.as_ref().map(|node| &node.entry);
         self.rank(&name, before.as_ref().map(|before| &before.entry), after);
-        self.note_former(name, before, node.as_ref(), now);
+        self.record_former(name, before, node.as_ref(), now);
     }
 
     /// Keeps what a node was listed with, as long as it may hold leases by that.
-    fn note_former(
+    fn record_former(
         &mut self,
         name: String,
         before: Option<ListedNode>,
@@ -168,7 +168,7 @@
 
     fn forget_former(&mut self, now: Timestamp) {
         self.former
-            .retain(|_, former| now.since(former.since) < LEASES_END);
+            .retain(|_, former| now.since(former.since) < FORMER_LEASE_TTL);
     }
 
     /// The nodes that may hold the lease of a group's primary: those whose entry names the group,
@@ -186,14 +186,14 @@
 }
 
 /// After so long a node that was taken off the list cannot use a lead any more.
-const LEASES_END: Duration = LEADER_LEASE.saturating_add(LEADER_LEASE_MARGIN);
+const FORMER_LEASE_TTL: Duration = LEADER_LEASE.saturating_add(LEADER_LEASE_MARGIN);
 
 /// The nodes that are listed, and the homes of groups.
 #[derive(Debug)]
 pub struct Homes {
     own_name: String,
     own: NodeEntry,
-    place: OwnPlace,
+    locality: OwnLocality,
     inner: Mutex<Inner>,
     /// Whether the list of nodes has been read.
     is_known: watch::Sender<bool>,
@@ -202,23 +202,23 @@
 }
 
 /// What nodes are ranked for as watchers of the store.
-const WATCHED_SUBJECT: &str = "store";
+const WATCHER_SUBJECT: &str = "store";
 /// How many nodes follow the store at least, if each zone has one; all do if they are no more.
-const WATCHERS: usize = 8;
+const MIN_WATCHERS: usize = 8;
 /// How many nodes follow one watcher, about. Fewer take less time to be told a whole table one after
 /// another, more share the price of what a watcher asks of the store.
-const FOLLOWERS: usize = 32;
+const FOLLOWERS_PER_WATCHER: usize = 32;
 
 /// How many watchers a starting node is told of, so that what a seed tells does not grow with the
 /// fleet.
-const TOLD_WATCHERS: usize = 8;
+const MAX_ASSIGNED_WATCHERS: usize = 8;
 
 fn watchers_per_zone(nodes: usize, zones: usize) -> usize {
-    if nodes <= WATCHERS {
+    if nodes <= MIN_WATCHERS {
         return nodes.max(1);
     }
     let zones = zones.max(1);
-    (WATCHERS / zones).max(nodes.div_ceil(zones * FOLLOWERS))
+    (MIN_WATCHERS / zones).max(nodes.div_ceil(zones * FOLLOWERS_PER_WATCHER))
 }
 
 impl Homes {
@@ -227,7 +227,7 @@
         let own_name = settings.node.name.clone();
         let own = NodeEntry::own(settings);
         Homes {
-            place: OwnPlace::new(settings),
+            locality: OwnLocality::new(settings),
             inner: Mutex::new(Inner::new(&own_name, &own)),
             own_name,
             own,
@@ -237,7 +237,7 @@
     }
 
     /// Waits until the list of nodes has been read, at most until `limit`.
-    pub async fn await_list(&self, limit: Instant) {
+    pub async fn wait_for_list(&self, limit: Instant) {
         if !*self.is_known.borrow() {
             let mut is_known = self.is_known.subscribe();
             // If the time passes, this node goes on by itself.
@@ -288,7 +288,7 @@
             inner.set(name, node, now);
         }
         inner.forget_former(now);
-        let settled = inner.fleet.settle(&self.place);
+        let settled = inner.fleet.settle(&self.locality);
         drop(inner);
         let was_known = self.is_known.send_replace(true);
         if is_own || settled.has_own_changed || !was_known {
@@ -313,7 +313,7 @@
     /// Takes in that this node is about to write its entry with these groups, in the place of the
     /// row of a version: until the list shows that the write is over, this node uses the primary
     /// of no other group.
-    pub fn note_own_write(&self, replaced: StoreVersion, leases: &LeaseScope) {
+    pub fn record_own_write(&self, replaced: StoreVersion, leases: &LeaseScope) {
         let leases = leases.clone();
         let write = OwnWrite { replaced, leases };
         let mut inner = self.lock();
@@ -378,7 +378,7 @@
         if inner.nodes.is_none() {
             return Arc::new(ChosenNodes::unknown());
         }
-        inner.fleet.homes_of(group, connections, &self.place)
+        inner.fleet.homes_of(group, connections, &self.locality)
     }
 
     /// The groups that this node is a home of, among those that were asked for; none before the
@@ -398,11 +398,11 @@
         let Some(nodes) = &inner.nodes else {
             return Arc::new(ChosenNodes::unknown());
         };
-        let nodes = staying(nodes);
+        let nodes = nodes_not_leaving(nodes);
         let mut watchers = self
-            .place
-            .choose(&nodes, WATCHED_SUBJECT, watchers_per_zone);
-        self.place.spread(&mut watchers.others);
+            .locality
+            .choose(&nodes, WATCHER_SUBJECT, watchers_per_zone);
+        self.locality.sort_for_own_node(&mut watchers.others);
         let watchers = Arc::new(watchers);
         inner.watchers = Some(Arc::clone(&watchers));
         watchers
@@ -425,7 +425,7 @@
             let rank = rendezvous_score(digest, NodeKey(subject_digest(&watcher.name)));
             (watcher.zone != zone, Reverse(rank))
         });
-        others.truncate(TOLD_WATCHERS);
+        others.truncate(MAX_ASSIGNED_WATCHERS);
         let nodes = others.into_iter().map(|watcher| NodeEndpoint {
             name: watcher.name,
             address: watcher.address,
@@ -441,7 +441,9 @@
     /// the region of a zone.
     pub fn ranked_for(&self, homes: &ChosenNodes, tenant: &str, zone: &str) -> Vec<Home> {
         let own = (self.own_name.as_str(), self.own.zone.as_str());
-        homes.ranked_for(tenant, own, |other| self.place.is_same_region(other, zone))
+        homes.ranked_for(tenant, own, |other| {
+            self.locality.is_same_region(other, zone)
+        })
     }
 
     /// The homes of a group in an order that is the same at all nodes, wherever they stand.
@@ -452,19 +454,19 @@
 
     /// Whether a zone lies in this node's region.
     pub fn is_own_region(&self, zone: &str) -> bool {
-        self.place.distance(zone) != Distance::Remote
+        self.locality.distance(zone) != Distance::Remote
     }
 
     /// How many homes stand in the region of a zone.
     pub fn count_near(&self, homes: &ChosenNodes, zone: &str) -> usize {
         let others = homes.others.iter();
-        let near = others.filter(|home| self.place.is_same_region(&home.zone, zone));
+        let near = others.filter(|home| self.locality.is_same_region(&home.zone, zone));
         near.count() + usize::from(homes.is_own && self.is_own_region(zone))
     }
 
     /// How far a zone is.
     pub fn distance(&self, zone: &str) -> Distance {
-        self.place.distance(zone)
+        self.locality.distance(zone)
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
@@ -473,7 +475,7 @@
 }
 
 /// The nodes that are not about to end.
-fn staying(listed: &BTreeMap<String, ListedNode>) -> BTreeMap<&str, &NodeEntry> {
+fn nodes_not_leaving(listed: &BTreeMap<String, ListedNode>) -> BTreeMap<&str, &NodeEntry> {
     let entries = listed
         .iter()
         .map(|(name, node)| (name.as_str(), &node.entry));
--- a/crates/spurpier-pipeline/src/membership.rs
+++ b/crates/spurpier-pipeline/src/membership.rs
@@ -61,7 +61,10 @@
 pub async fn keep_listed(context: Arc<Context>) {
     let mut changes = context.homes.own_changes();
     if !context.settings.node.first_start {
-        context.homes.await_list(Instant::now() + LIST_LIMIT).await;
+        context
+            .homes
+            .wait_for_list(Instant::now() + LIST_LIMIT)
+            .await;
         await_groups(&context).await;
     }
     let mut surplus_since = None;
@@ -176,7 +179,7 @@
     let key = context.settings.node.name.clone();
     let known = context.known_tables.version(Table::Cluster);
     let version = listing.map_or(known.for_absent_row(), |listing| listing.version);
-    context.homes.note_own_write(version, &entry.leases);
+    context.homes.record_own_write(version, &entry.leases);
     let condition = Condition {
         table: Table::Cluster,
         key: key.clone(),
--- a/crates/spurpier-pipeline/src/quota/asker.rs
+++ b/crates/spurpier-pipeline/src/quota/asker.rs
@@ -67,7 +67,7 @@
     /// Asks the authority; none if no answer comes.
     pub async fn ask(&self, context: &Context, wants: &Wants) -> Option<Granted> {
         let limit = context.clock.instant(context.clock.now() + PERMIT_TTL);
-        context.homes.await_list(limit).await;
+        context.homes.wait_for_list(limit).await;
         let ranked = context.homes.authorities(self.scope);
         // An authority that is about to end says so, and the next one is asked at once.
         for _ in 0..ranked.len() + VOTE_TRIES {
--- a/crates/spurpier-pipeline/src/session/connection.rs
+++ b/crates/spurpier-pipeline/src/session/connection.rs
@@ -15,9 +15,9 @@
 /// How much is read at once, at least.
 const READ_SIZE: usize = 2 << 10;
 /// Bytes that a client may send ahead while its statement runs.
-const MAX_AHEAD: usize = 64 << 10;
+const MAX_READ_AHEAD: usize = 64 << 10;
 /// How long a client may take no bytes of its answer.
-const SLOW_READER_LIMIT: Duration = Duration::from_secs(5);
+const ANSWER_WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 /// For how long sent bytes may stay unacknowledged before the connection is given up.
 const USER_TIMEOUT: Duration = Duration::from_secs(10);
 
@@ -29,7 +29,7 @@
     /// Bytes that are none.
     Violation,
     /// The end of the connection.
-    Gone,
+    Closed,
 }
 
 /// A connection to a client.
@@ -69,7 +69,7 @@
                 Err(_) => return Received::Violation,
             }
             if !self.read_more().await {
-                return Received::Gone;
+                return Received::Closed;
             }
         }
     }
@@ -82,7 +82,7 @@
 
     /// Waits until the client has closed the connection; keeps what it sends ahead.
     pub async fn closed(&mut self) {
-        while self.input.len() < MAX_AHEAD {
+        while self.input.len() < MAX_READ_AHEAD {
             if !self.read_more().await {
                 return;
             }
@@ -112,7 +112,7 @@
     }
 
     async fn flush(&mut self) -> bool {
-        let written = timeout(SLOW_READER_LIMIT, self.writer.write_all(&self.output)).await;
+        let written = timeout(ANSWER_WRITE_TIMEOUT, self.writer.write_all(&self.output)).await;
         self.output.clear();
         matches!(written, Ok(Ok(())))
     }
--- a/crates/spurpier-pipeline/src/session/mod.rs
+++ b/crates/spurpier-pipeline/src/session/mod.rs
@@ -17,7 +17,7 @@
 use tokio::time::{sleep_until, timeout};
 
 use self::connection::{ClientConnection, Received};
-use self::state::{ClientName, SessionState};
+use self::state::{ClientCredentials, SessionState};
 use crate::configuration::InForce;
 use crate::context::Context;
 use crate::events;
@@ -25,13 +25,13 @@
 use crate::tenant::AdmissionError;
 
 /// How long a client may take to open its session.
-const START_UP_LIMIT: Duration = Duration::from_secs(3);
+const START_UP_TIMEOUT: Duration = Duration::from_secs(3);
 /// How long a client's start-up waits for the first configuration.
-const CONFIGURATION_LIMIT: Duration = Duration::from_millis(1_500);
+const CONFIGURATION_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// For how long a session must have been quiet before a drain closes it.
-const DRAIN_QUIET: Duration = Duration::from_millis(150);
+const MIN_DRAIN_IDLE_TIME: Duration = Duration::from_millis(150);
 /// Over how long a drain spreads the closing of quiet sessions.
-const DRAIN_SPREAD: Duration = Duration::from_millis(600);
+const MAX_DRAIN_JITTER: Duration = Duration::from_millis(600);
 
 /// Serves one client until either side ends the session.
 pub async fn serve_client(context: Arc<Context>, stream: TcpStream, peer: SocketAddr) {
@@ -53,8 +53,11 @@
 }
 
 /// Opens the session; none if it was refused or the client left.
-async fn start_up(context: &Context, connection: &mut ClientConnection) -> Option<ClientName> {
-    let received = timeout(START_UP_LIMIT, connection.receive()).await;
+async fn start_up(
+    context: &Context,
+    connection: &mut ClientConnection,
+) -> Option<ClientCredentials> {
+    let received = timeout(START_UP_TIMEOUT, connection.receive()).await;
     let error = match received.ok()? {
         Received::Message(ClientMessage::StartUp { database, key }) => {
             let admitted = match known_configuration(context).await {
@@ -66,7 +69,7 @@
             };
             match admitted {
                 Ok(_) => {
-                    let client = ClientName { database, key };
+                    let client = ClientCredentials { database, key };
                     return connection.send_started().await.then_some(client);
                 }
                 Err(error) => error,
@@ -75,7 +78,7 @@
         Received::Message(ClientMessage::Request(_)) | Received::Violation => {
             refusal(ErrorClass::Malformed, "the session is not open")
         }
-        Received::Message(ClientMessage::Terminate) | Received::Gone => return None,
+        Received::Message(ClientMessage::Terminate) | Received::Closed => return None,
     };
     connection.refuse(&error).await;
     None
@@ -91,7 +94,7 @@
 async fn known_configuration(context: &Context) -> Option<Arc<InForce>> {
     let mut configuration = context.configuration.subscribe();
     let known = configuration.wait_for(Option::is_some);
-    let known = timeout(CONFIGURATION_LIMIT, known).await.ok()?.ok()?;
+    let known = timeout(CONFIGURATION_TIMEOUT, known).await.ok()?.ok()?;
     known.clone()
 }
 
@@ -149,7 +152,7 @@
                 Received::Message(ClientMessage::StartUp { .. }) | Received::Violation => {
                     Next::Ended(Ended::Violation)
                 }
-                Received::Message(ClientMessage::Terminate) | Received::Gone => {
+                Received::Message(ClientMessage::Terminate) | Received::Closed => {
                     Next::Ended(Ended::Closed)
                 }
             },
@@ -171,6 +174,6 @@
 /// Waits for the drain, and then until the session has been quiet long enough.
 async fn drain_quietly(context: &Context) {
     context.draining.cancelled().await;
-    let spread = DRAIN_SPREAD.mul_f64(rand::rng().random());
-    tokio::time::sleep(DRAIN_QUIET + spread).await;
+    let jitter = MAX_DRAIN_JITTER.mul_f64(rand::rng().random());
+    tokio::time::sleep(MIN_DRAIN_IDLE_TIME + jitter).await;
 }
--- a/crates/spurpier-pipeline/src/session/state.rs
+++ b/crates/spurpier-pipeline/src/session/state.rs
@@ -22,7 +22,7 @@
 
 /// What a client said of itself when it opened its session.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ClientName {
+pub struct ClientCredentials {
     /// The database that it named.
     pub database: String,
     /// The digest of its key; none if it named none.
@@ -32,19 +32,19 @@
 /// What is known of a client between its statements.
 pub struct SessionState {
     pub(super) context: Arc<Context>,
-    pub(super) client: ClientName,
+    pub(super) client: ClientCredentials,
     pub(super) values: Values,
     pub(super) prepared: HashMap<String, Prepared>,
     /// The last commit, and the group in whose log it stands.
     pub(super) own_commit: Option<(String, SessionCommit)>,
     pub(super) transaction: Option<RoutedTransaction>,
     /// When the last statement of the open transaction was answered.
-    pub(super) rests_since: Instant,
+    pub(super) idle_since: Instant,
 }
 
 impl SessionState {
     /// A session that has just been opened.
-    pub fn new(context: Arc<Context>, client: ClientName) -> Self {
+    pub fn new(context: Arc<Context>, client: ClientCredentials) -> Self {
         SessionState {
             context,
             client,
@@ -52,7 +52,7 @@
             prepared: HashMap::new(),
             own_commit: None,
             transaction: None,
-            rests_since: Instant::now(),
+            idle_since: Instant::now(),
         }
     }
 
@@ -68,7 +68,7 @@
             return None;
         }
         let in_force = self.context.in_force()?;
-        Some(self.rests_since + in_force.configuration.transaction_idle)
+        Some(self.idle_since + in_force.configuration.transaction_idle)
     }
 
     /// Ends the open transaction, which has rested too long.
--- a/crates/spurpier-pipeline/src/session/statements.rs
+++ b/crates/spurpier-pipeline/src/session/statements.rs
@@ -23,8 +23,8 @@
         } else {
             self.run_statement(request, state).await
         };
-        self.rests_since = Instant::now();
-        let taken = self.rests_since - started;
+        self.idle_since = Instant::now();
+        let taken = self.idle_since - started;
         self.context.metrics.count_statement(&answer, taken);
         answer
     }
@@ -112,12 +112,12 @@
             Ok(unit) => unit,
             Err(denied) => return Answer::denied(denied),
         };
-        let leave = match self.take_leave(&unit, &work).await {
-            Ok(leave) => leave,
+        let permit = match self.acquire_permit(&unit, &work).await {
+            Ok(permit) => permit,
             Err(answer) => return answer,
         };
         let done = run_single(&unit, &work, effect).await;
-        self.settle_leave(leave, &done.answer);
+        self.return_unused_permit(permit, &done.answer);
         self.settle(&unit.group.name, done)
     }
 
@@ -126,19 +126,19 @@
             Ok(unit) => unit,
             Err(denied) => return Answer::denied(denied),
         };
-        let leave = match self.take_leave(&unit, &work).await {
-            Ok(leave) => leave,
+        let permit = match self.acquire_permit(&unit, &work).await {
+            Ok(permit) => permit,
             Err(answer) => return answer,
         };
         let (answer, transaction) = RoutedTransaction::begin(unit, &work, read_only).await;
-        self.settle_leave(leave, &answer);
+        self.return_unused_permit(permit, &answer);
         self.transaction = transaction;
         answer
     }
 
     /// Takes the leave that an operation of a tenant with a bounded rate needs; gives the answer of
     /// one that must not start.
-    async fn take_leave(
+    async fn acquire_permit(
         &self,
         unit: &Unit,
         work: &ClientStatement,
@@ -157,10 +157,10 @@
     }
 
     /// Gives a leave back if the operation has not run.
-    fn settle_leave(&self, leave: Option<OperationLeave>, answer: &Answer) {
+    fn return_unused_permit(&self, permit: Option<OperationLeave>, answer: &Answer) {
         let is_not_run = answer.error_class().is_some_and(ErrorClass::is_not_run);
-        if let Some(leave) = leave.filter(|_| is_not_run) {
-            quota::put_back(&self.context, leave);
+        if let Some(permit) = permit.filter(|_| is_not_run) {
+            quota::put_back(&self.context, permit);
         }
     }
 
--- a/crates/spurpier-pipeline/tests/homes.rs
+++ b/crates/spurpier-pipeline/tests/homes.rs
@@ -87,7 +87,7 @@
 
 /// What the list tells next.
 #[derive(Debug, Clone)]
-enum Told {
+enum ListUpdate {
     /// Some rows.
     Rows(Vec<(u8, Option<Entry>)>),
     /// The whole list, without these nodes.
@@ -112,11 +112,11 @@
         })
 }
 
-fn told() -> impl Strategy<Value = Told> {
+fn list_update() -> impl Strategy<Value = ListUpdate> {
     let row = (0u8..40, prop::option::weighted(0.7, entry()));
     prop_oneof![
-        9 => prop::collection::vec(row, 1..8).prop_map(Told::Rows),
-        1 => prop::collection::vec(0u8..40, 0..20).prop_map(Told::Whole),
+        9 => prop::collection::vec(row, 1..8).prop_map(ListUpdate::Rows),
+        1 => prop::collection::vec(0u8..40, 0..20).prop_map(ListUpdate::Whole),
     ]
 }
 
@@ -129,7 +129,7 @@
 }
 
 /// The homes of a group, computed from the whole list.
-fn computed_anew(
+fn recompute_homes(
     list: &BTreeMap<String, ListedNode>,
     group: &str,
     connections: usize,
@@ -174,8 +174,8 @@
 
 proptest! {
     #[test]
-    fn homes_that_follow_the_list_are_those_of_the_whole_list(
-        told in prop::collection::vec(told(), 1..25),
+    fn incrementally_updated_homes_equal_recomputed_homes(
+        updates in prop::collection::vec(list_update(), 1..25),
         connections in prop::collection::vec(
             prop::sample::select(vec![5usize, 30, 36, 69, 400]),
             GROUPS,
@@ -191,9 +191,9 @@
             groups.map(|(number, count)| (*homes.of(&group(number), *count)).clone()).collect()
         };
         let mut before = homes_of_all(&homes);
-        for told in told {
-            let changed = match told {
-                Told::Rows(rows) => {
+        for update in updates {
+            let changed = match update {
+                ListUpdate::Rows(rows) => {
                     let rows = rows.into_iter();
                     let rows: Vec<(String, Option<ListedNode>)> = rows
                         .map(|(number, entry)| (name(number), entry.map(|entry| entry.listed())))
@@ -206,7 +206,7 @@
                     }
                     Some(homes.change(rows, Timestamp::ZERO))
                 }
-                Told::Whole(missing) => {
+                ListUpdate::Whole(missing) => {
                     for number in missing {
                         list.remove(&name(number));
                     }
@@ -217,8 +217,8 @@
             let after = homes_of_all(&homes);
             for (number, homes) in after.iter().enumerate() {
                 let group = group(number);
-                let anew = computed_anew(&list, &group, connections[number]);
-                prop_assert_eq!(homes, &anew);
+                let recomputed = recompute_homes(&list, &group, connections[number]);
+                prop_assert_eq!(homes, &recomputed);
                 if let Some(changed) = &changed {
                     prop_assert_eq!(changed.contains(&group), *homes != before[number]);
                 }
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn a_row_that_names_other_groups_moves_no_homes_and_tells_only_its_own_node() {
+fn lease_scope_update_changes_no_homes_and_notifies_only_own_node() {
     let homes = Homes::new(&settings());
     let node = |lease_group| Entry {
         zone: 0,
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn a_registration_that_the_store_has_lost_is_asked_until_its_lease_has_ended() {
+fn node_lost_by_store_rollback_is_lease_holder_until_its_lease_expires() {
     let node = |lease_group| Entry {
         zone: 0,
         weight: 1.0,
