--- a/crates/spurpier-pipeline/src/directory/connections.rs
+++ b/crates/spurpier-pipeline/src/directory/connections.rs
@@ -1,4 +1,4 @@
-//! This node's share of the connections to each server.
+//! Division of each server's connections among the homes of its group.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,23 +6,24 @@
 use crate::context::Context;
 use crate::group::Group;
 
-/// How long a server may keep the connections of a process that ended without a word.
+/// How long a server may keep the connections of a process that ended without closing them.
 const FORMER_CONNECTION_TIMEOUT: Duration = Duration::from_millis(3_300);
 
-/// How many parts of a server's connections a home in its region takes for each part of another:
-/// the others keep some for reads that the region's servers lack, and for a lead that only they
-/// reach. With three parts instead the mean worth of five days was 0.772, with four and what needs
-/// the lead at these homes 0.778; with equal parts 0.761 (one play of each day).
+/// Weight of a home in the server's region when its connections are divided; other homes have
+/// weight 1. The others keep some connections for reads that the servers of their own region cannot
+/// serve, and for a leader that only they can reach. The mean score of five simulated days (one run
+/// each) was 0.778 with weight 4 and leader requests routed to these homes, 0.772 with weight 3, and
+/// 0.761 with equal weights.
 const NEAR_WEIGHT: usize = 4;
 
 /// This node's share of the connections to each server of a group.
 ///
-/// The homes of the group share them; a node that is none may open one, for questions to servers.
-/// A node that has just started takes two thirds of its share: if the machines lost power, the
-/// servers still hold the connections from before.
+/// The homes of the group share them; any other node may open one, to query the server's status.
+/// A node that has just started uses two thirds of its share: after a power loss, the servers still
+/// hold the connections of its previous incarnation.
 ///
-/// Connections that belong to tenants are worth most at the homes of the server's region, where its
-/// reads come from, and what needs it as the lead: these take [`NEAR_WEIGHT`] times the others' share.
+/// With tenants configured, homes in the server's region get [`NEAR_WEIGHT`] times the share of the
+/// others: its reads, and the requests that need it as the leader, come from these homes.
 pub(super) fn connection_share(context: &Context, group: &str, server_zone: &str) -> usize {
     let homes = context.homes_of(group);
     if !homes.is_own {
@@ -47,18 +48,19 @@
     share.max(1)
 }
 
-/// Gives each pool its whole share once the servers have dropped what was there before the start.
+/// Raises each pool to its full share once the servers have closed the connections of the previous
+/// incarnation.
 pub async fn share_after_start(context: Arc<Context>) {
     tokio::time::sleep(FORMER_CONNECTION_TIMEOUT).await;
     share_connections(&context);
 }
 
-/// How long a connection stays open that nobody uses.
+/// How long an unused connection stays open.
 const MAX_UNUSED_TIME: Duration = Duration::from_millis(1_500);
-/// How often unused connections are looked for.
+/// Interval between checks for unused connections.
 const UNUSED_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Closes connections that nobody uses; never returns.
+/// Periodically closes connections unused for [`MAX_UNUSED_TIME`]; never returns.
 pub async fn close_unused(context: Arc<Context>) {
     loop {
         tokio::time::sleep(UNUSED_INTERVAL).await;
@@ -66,14 +68,14 @@
     }
 }
 
-/// Gives each pool this node's share anew.
+/// Recomputes this node's share for every pool.
 pub fn share_connections(context: &Context) {
     for group in context.all_groups() {
         share_group(context, &group);
     }
 }
 
-/// Gives the pools of these groups this node's share anew.
+/// Recomputes this node's share for the pools of these groups; unknown groups are ignored.
 pub fn share_connections_of(context: &Context, groups: &[String]) {
     let groups = groups.iter().filter_map(|name| context.known_group(name));
     for group in groups {
--- a/crates/spurpier-pipeline/src/directory/gone.rs
+++ b/crates/spurpier-pipeline/src/directory/gone.rs
@@ -1,4 +1,4 @@
-//! Forgetting servers that left the directory long ago.
+//! Garbage collection of servers that were removed from the directory.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,16 +9,16 @@
 use crate::context::Context;
 use crate::group::Group;
 
-/// For how long a server that left the directory is remembered: it may still run, and it may hold
-/// commits that a successor must not lack.
+/// How long a removed server is kept: it may still be running, and it may hold commits that a
+/// successor needs.
 const GONE_RETENTION: Duration = Duration::from_secs(30);
-/// How often servers are forgotten.
+/// Interval between garbage collections.
 const FORGET_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Forgets servers that left the directory long ago; never returns.
+/// Periodically drops servers that were removed longer than [`GONE_RETENTION`] ago; never returns.
 ///
-/// Only the groups of which an entry has gone are looked at: going over the servers of all groups
-/// was 2 % of a node's processor time on a day at 300 nodes (1,225 samples of `perf`).
+/// Checks only groups with removed servers: iterating over the servers of all groups took 2 % of a
+/// node's CPU time in a cluster of 300 nodes (1,225 `perf` samples).
 pub async fn forget_gone(context: Arc<Context>) {
     loop {
         tokio::time::sleep(FORGET_INTERVAL).await;
@@ -33,7 +33,8 @@
     }
 }
 
-/// Forgets a group's servers that left long ago; tells whether it has others that are gone.
+/// Drops a group's servers whose retention has expired; returns whether other removed servers
+/// remain.
 fn forget_gone_of(group: &Group, now: Timestamp) -> bool {
     let mut has_gone = false;
     let gone = group.servers().into_iter();
--- a/crates/spurpier-pipeline/src/directory/mod.rs
+++ b/crates/spurpier-pipeline/src/directory/mod.rs
@@ -1,4 +1,4 @@
-//! The servers as the store lists them.
+//! The server directory: keeps the groups' servers in sync with the rows in the store.
 
 mod connections;
 mod gone;
@@ -27,10 +27,10 @@
 use crate::server::{Listing, Pool, Server, Target};
 use crate::server_rows;
 
-/// The servers that the store lists, and the groups' servers kept in step with them.
+/// Applies the server rows of the store to the groups.
 ///
-/// A row that names no server to use takes the server out that stood under its key. A server whose
-/// group no configuration names is set aside until one does: nothing is asked of it before.
+/// An unusable row removes the server that was listed under its key. A server whose group is not
+/// configured is set aside, and not contacted, until the configuration names the group.
 pub struct Directory {
     context: Arc<Context>,
     state: Mutex<State>,
@@ -39,9 +39,9 @@
 #[derive(Default)]
 struct State {
     roster: Roster,
-    /// Servers of groups that the configuration does not name, by their names.
+    /// Servers of groups that are not configured, by server name.
     set_aside: BTreeMap<String, ListedServer>,
-    /// Why rows name no server to use, by their keys.
+    /// Why rows are unusable, by row key.
     unusable: BTreeMap<String, UnusableEntry>,
 }
 
@@ -51,15 +51,15 @@
     version: StoreVersion,
 }
 
-/// A row as it was read.
+/// A row and its decoded entry.
 struct ReadRow<'a> {
     row: &'a Row,
-    /// None if the row is gone.
+    /// `None` if the row was deleted.
     read: Option<Result<ServerEntry, UnusableEntry>>,
 }
 
 impl Directory {
-    /// A directory that lists no server yet.
+    /// Creates an empty directory.
     pub fn new(context: Arc<Context>) -> Arc<Self> {
         Arc::new(Directory {
             context,
@@ -67,7 +67,7 @@
         })
     }
 
-    /// Takes in the whole table as of a version.
+    /// Replaces all rows by a full table read at `version`.
     fn replace_all(&self, rows: &[Row], version: StoreVersion) {
         let mut state = self.lock();
         let mut read: Vec<ReadRow<'_>> = rows.iter().map(ReadRow::new).collect();
@@ -92,7 +92,7 @@
         self.update_unusable_metrics(&state);
     }
 
-    /// Takes in rows that have changed or are gone.
+    /// Applies changed and deleted rows.
     fn apply_changes(&self, rows: &[Row]) {
         let mut state = self.lock();
         let mut read: Vec<ReadRow<'_>> = rows.iter().map(ReadRow::new).collect();
@@ -107,7 +107,8 @@
         self.update_unusable_metrics(&state);
     }
 
-    /// Notes which rows cannot be used; gives all rows to the roster, and the entries of the others.
+    /// Records which rows are unusable; returns all rows for the roster, and the usable entries by
+    /// key.
     fn record_read(
         &self,
         state: &mut State,
@@ -187,7 +188,7 @@
         }
     }
 
-    /// Takes a server into its group, if the configuration names that.
+    /// Adds or updates a server in its group, or sets it aside if the group is not configured.
     fn add_to_group(&self, state: &mut State, listed: ListedServer, log: LogServers) {
         let ListedServer { entry, version } = listed;
         if !self.is_named(&entry.group) {
@@ -211,7 +212,7 @@
         known.is_some_and(|known| known.connections(group).is_some())
     }
 
-    /// Takes the servers into their groups that the configuration has come to name.
+    /// Adds the servers that were set aside and whose groups are now configured.
     fn add_newly_named(&self) {
         let mut state = self.lock();
         let set_aside = std::mem::take(&mut state.set_aside);
@@ -224,7 +225,7 @@
         self.update_unusable_metrics(&state);
     }
 
-    /// Ends what is known of a server's former life: who waits for it or uses it is told at once.
+    /// Removes a server's former incarnation; its waiters and users are notified at once.
     fn remove_former_incarnation(&self, former: &ServerEndpoint) {
         if let Some(group) = self.context.known_group(&former.group) {
             group.remove(&former.incarnation);
@@ -291,7 +292,8 @@
         group.note_entry(&server.incarnation, role);
     }
 
-    /// Takes in that no row names a server any more, which counts as gone from a moment on.
+    /// Marks a server that is no longer listed; it counts as gone from `gone_at`, which may be in
+    /// the future.
     fn mark_gone(&self, endpoint: &ServerEndpoint, gone_at: Timestamp) {
         let Some(group) = self.context.known_group(&endpoint.group) else {
             return;
@@ -318,8 +320,8 @@
         }
     }
 
-    /// From when a server counts as gone whose entry is gone now: while the store was away, the
-    /// entries of servers that live may have lapsed, and they come back.
+    /// When a server whose row was deleted now counts as gone. While the store was unavailable, the
+    /// rows of running servers may have expired; they get time to register again.
     fn gone_at(&self, now: Timestamp) -> Timestamp {
         let regained_at = *locked(&self.context.store_regained_at);
         regained_at.map_or(now, |regained_at| {
@@ -333,7 +335,7 @@
         if let Some(suppressed) = budget.take(events::SERVER_ENTRY_UNUSABLE, now) {
             log_event!(
                 events::SERVER_ENTRY_UNUSABLE,
-                // What another writer chose as a key may hold anything.
+                // Keys are chosen by other writers and may contain any character.
                 key = format!("{key:?}"),
                 version = version,
                 why = why,
@@ -356,11 +358,11 @@
     }
 }
 
-/// Why a row is not used whose group no configuration names, as metrics name it.
+/// The metric label value for rows whose group is not configured.
 const UNKNOWN_GROUP: &str = "unknown_group";
 
-/// Whether servers that come are logged one by one, by the homes of their groups; a whole table is
-/// told in one line.
+/// Whether the homes of a group log each added server. A full table read is logged as one summary
+/// line instead.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum LogServers {
     Each,
@@ -387,7 +389,7 @@
     }
 }
 
-/// How many of these entries tell when their servers started, and how many do not.
+/// Counts the entries with and without a start time of the server.
 fn count_start_times<'a>(
     read: impl Iterator<Item = &'a Result<ServerEntry, UnusableEntry>>,
 ) -> (usize, usize) {
@@ -397,8 +399,9 @@
     (with_start.len(), without_start.len())
 }
 
-/// Where most servers tell when they started, an entry that does not is none of a server: its lives
-/// could not be told apart. A platform whose servers do not tell it never uses a name again.
+/// Rejects entries without a start time if a majority of the entries have one: the server's
+/// incarnations could not be distinguished. Platforms that report no start times never reuse a
+/// server name.
 fn require_starts(read: &mut [ReadRow<'_>], (with_start, without_start): (usize, usize)) {
     if with_start <= without_start {
         return;
@@ -408,7 +411,7 @@
     }
 }
 
-/// Follows the table of the servers.
+/// Applies updates of the server table to the directory.
 pub struct ServerSink(pub Arc<Directory>);
 
 impl RowSink for ServerSink {
@@ -430,7 +433,8 @@
     }
 }
 
-/// Takes in servers whose groups the configuration comes to name; never returns.
+/// Adds servers that were set aside whenever the configuration changes; returns only when the
+/// configuration channel closes.
 pub async fn follow_named_groups(directory: Arc<Directory>) {
     let mut configuration = directory.context.configuration.subscribe();
     loop {
@@ -441,7 +445,7 @@
     }
 }
 
-/// How long after the store's return a server's entry that lapsed may take to come back.
+/// How long after the store is available again an expired server row may take to reappear.
 const ENTRY_RETURN_TIMEOUT: Duration = Duration::from_millis(2_500);
 fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
--- a/crates/spurpier-pipeline/src/homes/authorities.rs
+++ b/crates/spurpier-pipeline/src/homes/authorities.rs
@@ -1,4 +1,4 @@
-//! The nodes that count tenants' operations.
+//! Selection of quota authorities: the nodes that count tenants' operations.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,15 +8,16 @@
 use crate::node_entry::{ListedNode, NodeEntry};
 use crate::quota::Scope;
 
-/// What nodes are ranked for as those that count operations, before the seat or the zone.
+/// Prefix of the ranking subject; the quota shard's number or the zone follows. All nodes must use
+/// the same subjects, because the ranks are computed from their hashes.
 const QUOTA_SUBJECT: &str = "quota";
-/// How many nodes are ranked for a seat: the second and third take the place of those that cannot
-/// be reached.
+/// How many nodes are ranked for a scope: the second and third replace authorities that are
+/// unreachable.
 const AUTHORITY_CANDIDATES: usize = 3;
 
 impl Homes {
-    /// The nodes that may count tenants' operations for a scope, in the order in which all its nodes
-    /// ask them; this node alone before any is known.
+    /// The nodes that may count tenants' operations for a scope, in the order in which every node of
+    /// the scope tries them; only this node before the node list is known.
     pub fn authorities(&self, scope: Scope) -> Arc<Vec<PeerNode>> {
         let mut inner = self.lock();
         if let Some(authorities) = inner.authorities.get(&scope) {
@@ -36,7 +37,7 @@
         authorities
     }
 
-    /// How many nodes are listed that may ask for a scope; one before any is known.
+    /// How many listed nodes may request permits in a scope; 1 before the node list is known.
     pub fn voter_count(&self, scope: Scope) -> usize {
         let inner = self.lock();
         let Some(nodes) = &inner.nodes else {
--- a/crates/spurpier-pipeline/src/homes/chosen.rs
+++ b/crates/spurpier-pipeline/src/homes/chosen.rs
@@ -1,4 +1,4 @@
-//! Choosing nodes of each zone, as homes of a group or as watchers, and how far they are.
+//! Selection of nodes per zone, as homes of a group or as watchers, and their distances.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -12,57 +12,57 @@
 use crate::node_entry::NodeEntry;
 use crate::settings::PipelineSettings;
 
-/// How many nodes share the connections until the list of nodes has been read.
+/// Assumed number of homes that share a server's connections until the node list is known.
 const UNKNOWN_NODES: usize = 12;
-/// Nodes with less than this share of the widest link of their zone are watchers only if there are
-/// not enough others. A watcher tells its followers what changes: 1,400 more routes are 69 KB for
-/// each, 1.4 s of a link of 20 Mbit/s for 49 of them.
+/// Nodes whose bandwidth is below this fraction of the highest among the candidates are ranked last.
+/// A watcher sends each update to all its followers: 1,400 new routes are 69 KB per follower, which
+/// takes 1.4 s for 49 followers on a link of 20 Mbit/s.
 const MIN_WIDE_LINK_SHARE: f64 = 0.5;
 
 /// A node that other nodes can reach.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerNode {
-    /// Its name.
+    /// Its name in the node list.
     pub name: String,
-    /// Where it is reached.
+    /// Its address for connections from other nodes.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The zone in which it runs.
     pub zone: String,
 }
 
-/// The nodes that were chosen, as homes of a group or as watchers, as one node sees them.
+/// The nodes selected as homes of a group or as watchers, from the view of this node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ChosenNodes {
-    /// Whether this node is one of them.
+    /// Whether this node is selected.
     pub is_own: bool,
-    /// How many there are, this node among them if it is one.
+    /// How many nodes are selected, including this node.
     pub count: usize,
-    /// How many of the others stand in this node's region; they come first.
+    /// How many of `others` are in this node's region; they come first.
     pub near: usize,
-    /// The others, in the order in which this node asks them: the nearest first.
+    /// The selected nodes other than this one, nearest first.
     pub others: Vec<PeerNode>,
 }
 
-/// One of the homes of a group, as a node sees it.
+/// A home of a group, from the view of this node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Home {
     /// This node.
     Own,
-    /// Another one.
+    /// Another node.
     Peer(PeerNode),
 }
 
 impl ChosenNodes {
-    /// All of them, in the order in which this node asks them: itself, then the nearest first.
+    /// All selected nodes in the order in which this node tries them: itself, then nearest first.
     pub fn nearest_first(&self) -> Vec<Home> {
         let own = self.is_own.then_some(Home::Own);
         let others = self.others.iter().cloned().map(Home::Peer);
         own.into_iter().chain(others).collect()
     }
 
-    /// All of them, in the order in which this node asks them for a tenant: those that `is_near`
-    /// tells from their zones in the tenant's own order, so that one of them holds the connections
-    /// for it, and then the others, the nearest first.
+    /// All selected nodes in the order in which this node tries them for a tenant. Nodes in zones
+    /// that match `is_near` come first, in an order that depends only on the tenant, so that one of
+    /// them holds the tenant's connections; the others follow, nearest first.
     pub fn ranked_for(
         &self,
         tenant: &str,
@@ -72,7 +72,7 @@
         let (own_name, own_zone) = own;
         let mut homes = self.nearest_first();
         let digest = subject_digest(tenant);
-        // Stable: those that are not near come last, and stay in their order.
+        // The sort is stable: nodes that are not near come last in their previous order.
         homes.sort_by_cached_key(|home| {
             let (name, zone) = match home {
                 Home::Own => (own_name, own_zone),
@@ -85,7 +85,7 @@
         homes
     }
 
-    /// Before the list of nodes has been read: this node does everything itself.
+    /// The selection before the node list is known: only this node, with an assumed count.
     pub fn unknown() -> Self {
         ChosenNodes {
             is_own: true,
@@ -96,7 +96,7 @@
     }
 }
 
-/// Where this node stands among the others.
+/// This node's locality, and the regions of all zones.
 #[derive(Debug)]
 pub struct OwnLocality {
     name: String,
@@ -107,7 +107,7 @@
 }
 
 impl OwnLocality {
-    /// The place of the node with these settings.
+    /// Reads the locality from the node's settings.
     pub fn new(settings: &PipelineSettings) -> Self {
         OwnLocality {
             name: settings.node.name.clone(),
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Chooses the first-ranked nodes of each zone, those with wide links first; `per_zone` gives
-    /// how many, for so many nodes in so many zones.
+    /// Selects the best-ranked nodes of each zone, preferring high bandwidth. `per_zone` computes
+    /// how many from the number of nodes and the number of zones.
     pub fn choose(
         &self,
         nodes: &BTreeMap<&str, &NodeEntry>,
@@ -140,10 +140,10 @@
         self.gather(chosen)
     }
 
-    /// The nodes that were chosen, given in the order of their zones and ranks.
+    /// Builds the selection from nodes that are ordered by zone and rank.
     pub fn gather(&self, mut chosen: Vec<PeerNode>) -> ChosenNodes {
         let count = chosen.len();
-        // Stable: nodes at the same distance stay in the order of their zones and ranks.
+        // The sort is stable: nodes at the same distance stay ordered by zone and rank.
         chosen.sort_by_cached_key(|node| self.distance(&node.zone));
         chosen.retain(|node| node.name != self.name);
         let near = chosen.iter();
@@ -156,8 +156,8 @@
         }
     }
 
-    /// Puts nodes at the same distance in this node's own order, so that those of a zone do not all
-    /// ask the same one first.
+    /// Sorts nodes by distance, and nodes at the same distance in an order specific to this node, so
+    /// that the nodes of a zone do not all try the same one first.
     pub fn sort_for_own_node(&self, nodes: &mut [PeerNode]) {
         let own = subject_digest(&self.name);
         nodes.sort_by_cached_key(|node| {
@@ -166,8 +166,8 @@
         });
     }
 
-    /// So many nodes for a subject: the first-ranked one, those with wide links first, and others
-    /// that stand apart from it and from each other.
+    /// Selects up to `count` nodes for a subject: the best-ranked one, preferring high bandwidth,
+    /// and then nodes in other failure domains than those selected before.
     pub fn rank_diverse(
         &self,
         nodes: &BTreeMap<&str, &NodeEntry>,
@@ -192,13 +192,13 @@
         }
     }
 
-    /// Whether two zones lie in the same region; a zone without one is remote from all others.
+    /// Whether two zones are in the same region; a zone without a known region matches only itself.
     pub fn is_same_region(&self, zone: &str, other: &str) -> bool {
         let region = self.regions.get(zone);
         zone == other || (region.is_some() && region == self.regions.get(other))
     }
 
-    /// How far a zone is.
+    /// The distance from this node to a zone; a zone without a known region is remote.
     pub fn distance(&self, zone: &str) -> Distance {
         if zone == self.zone {
             return Distance::Zone;
@@ -210,8 +210,8 @@
     }
 }
 
-/// The order of nodes for a subject: indices, those with wide links first, and within each of the
-/// two parts best first.
+/// Ranks nodes for a subject and returns their indices: nodes with high bandwidth before the others,
+/// and best rank first within each of the two classes.
 fn rank_wide_first(members: &[(&str, &NodeEntry)], subject: &str) -> Vec<usize> {
     let ranked = members.iter();
     let ranked = ranked.map(|(name, node)| node.ranked(NodeKey(subject_digest(name))));
@@ -219,12 +219,12 @@
     let link_mbps = |index: usize| members[index].1.link_mbps;
     let widest = order.iter().map(|index| link_mbps(*index));
     let widest = widest.fold(0.0, f64::max);
-    // Stable: the order by ranks holds.
+    // The sort is stable: each class stays ordered by rank.
     order.sort_by_key(|index| link_mbps(*index) < widest * MIN_WIDE_LINK_SHARE);
     order
 }
 
-/// A node under its name.
+/// Builds a [`PeerNode`] from a node's name and entry.
 pub fn peer_node(name: &str, entry: &NodeEntry) -> PeerNode {
     PeerNode {
         name: name.to_owned(),
--- a/crates/spurpier-pipeline/src/homes/fleet.rs
+++ b/crates/spurpier-pipeline/src/homes/fleet.rs
@@ -1,8 +1,8 @@
-//! The nodes that stay, and their ranks as homes of each group.
+//! Incremental computation of the homes of each group from the ranks of the nodes.
 //!
-//! Every row of the list of nodes moves the ranks of that node alone. The homes of a group are put
-//! together anew only if its first ranks have moved, or if the fleet has come to need another
-//! number of homes in each zone.
+//! A changed row of the node list changes only that node's ranks. The homes of a group are recomputed
+//! only if one of its top ranks changed, or if the numbers of nodes or zones changed such that the
+//! number of homes per zone may differ.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -19,49 +19,49 @@
 #[derive(Debug)]
 struct RankedGroup {
     name: String,
-    /// The connections that each of its servers takes.
+    /// The connection limit of each of its servers.
     connections: usize,
-    /// How many homes it has in each zone.
+    /// Maximum number of homes in each zone.
     per_zone: usize,
     homes: Arc<ChosenNodes>,
 }
 
-/// What a batch of changes has come to.
+/// The effects of a batch of node changes.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(super) struct FleetChanges {
     /// The groups whose homes have changed.
     pub(super) groups: Vec<String>,
-    /// Whether this node has become a home of a group, or is one no more.
+    /// Whether this node became a home of a group or stopped being one.
     pub(super) has_own_changed: bool,
 }
 
-/// What the number of homes in each zone hangs on beside a group's connections.
+/// The inputs, apart from a group's connections, that determine the number of homes per zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct FleetShape {
-    /// How many nodes there are; one more than the most homes stands for all greater numbers.
+    /// Number of nodes, capped at `MAX_HOMES + 1` because larger numbers make no difference.
     nodes: usize,
     zones: usize,
 }
 
-/// The nodes that stay, and their ranks.
+/// The nodes that are not leaving, and their ranks.
 #[derive(Debug)]
 pub(super) struct Fleet {
     ranks: RankTable<RankedNode, String>,
     nodes: HashMap<NodeKey, PeerNode>,
-    /// By their numbers in `ranks`.
+    /// Indexed by subject number in `ranks`.
     groups: Vec<RankedGroup>,
     numbers: HashMap<String, usize>,
-    /// The groups that this node is a home of.
+    /// The numbers of the groups that this node is a home of.
     served: BTreeSet<usize>,
-    /// Their names; none if they have changed since.
+    /// Cached names of `served`; `None` after a change.
     served_names: Option<Arc<[String]>>,
-    /// The groups whose first ranks have moved since the last batch was settled.
+    /// The groups whose top ranks changed since the last call of `settle`.
     moved: BTreeSet<usize>,
     shape: FleetShape,
 }
 
 impl Fleet {
-    /// A fleet without nodes.
+    /// Creates a fleet without nodes.
     pub(super) fn new() -> Self {
         Fleet {
             ranks: RankTable::new(MAX_HOMES),
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Takes in a node that stays, in the place of what was known of it, or that it stays no more.
+    /// Adds or replaces a node; removes it if `entry` is `None`.
     pub(super) fn put(&mut self, name: &str, entry: Option<&NodeEntry>) {
         let key = NodeKey(subject_digest(name));
         if self.nodes.remove(&key).is_some() {
@@ -98,7 +98,7 @@
         self.moved.extend(first.map(|moved| moved.subject));
     }
 
-    /// Puts the homes together anew that a batch of changes has moved.
+    /// Recomputes the homes that a batch of changes affects.
     pub(super) fn settle(&mut self, locality: &OwnLocality) -> FleetChanges {
         let shape = self.current_shape();
         if shape != self.shape {
@@ -124,7 +124,7 @@
         }
     }
 
-    /// The homes of a group whose servers take so many connections each.
+    /// The homes of a group whose servers accept `connections` connections each.
     pub(super) fn homes_of(
         &mut self,
         group: &str,
@@ -152,7 +152,7 @@
         number
     }
 
-    /// The groups that this node is a home of; the same list while it is a home of the same.
+    /// The groups that this node is a home of; returns the same `Arc` until they change.
     pub(super) fn served(&mut self) -> Arc<[String]> {
         let (served, groups) = (&self.served, &self.groups);
         let names = || {
@@ -162,7 +162,7 @@
         Arc::clone(self.served_names.get_or_insert_with(names))
     }
 
-    /// Puts a group's homes together from the ranks; tells whether they have changed.
+    /// Recomputes a group's homes from the ranks; returns whether they changed.
     fn choose(&mut self, number: usize, locality: &OwnLocality) -> bool {
         let connections = self.groups[number].connections;
         let (nodes, zones) = (self.ranks.node_count(), self.ranks.zone_count());
--- a/crates/spurpier-pipeline/src/session/connection.rs
+++ b/crates/spurpier-pipeline/src/session/connection.rs
@@ -1,4 +1,4 @@
-//! The connection to a client.
+//! A client connection: framing, timeouts and detection of a closed peer.
 
 use std::io;
 use std::sync::Arc;
@@ -12,27 +12,27 @@
 
 use crate::ports::{Answer, ClientDialect, ClientMessage, ServerError};
 
-/// How much is read at once, at least.
+/// Minimum free buffer space for each read, in bytes.
 const READ_SIZE: usize = 2 << 10;
-/// Bytes that a client may send ahead while its statement runs.
+/// Maximum bytes buffered from a client while its statement runs.
 const MAX_READ_AHEAD: usize = 64 << 10;
-/// How long a client may take no bytes of its answer.
+/// Maximum time to write an answer before the client counts as too slow.
 const ANSWER_WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// For how long sent bytes may stay unacknowledged before the connection is given up.
+/// `TCP_USER_TIMEOUT`: how long sent bytes may stay unacknowledged before the connection is closed.
 const USER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What came from a client.
+/// The result of waiting for a client's message.
 #[derive(Debug)]
 pub enum Received {
-    /// A message.
+    /// A complete message.
     Message(ClientMessage),
-    /// Bytes that are none.
+    /// Bytes that violate the protocol.
     Violation,
-    /// The end of the connection.
+    /// The client closed the connection, or it failed.
     Closed,
 }
 
-/// A connection to a client.
+/// A client connection with its read and write buffers.
 pub struct ClientConnection {
     reader: OwnedReadHalf,
     writer: OwnedWriteHalf,
@@ -42,11 +42,11 @@
 }
 
 impl ClientConnection {
-    /// Takes an accepted connection.
+    /// Wraps an accepted connection and sets its socket options.
     ///
     /// # Errors
     ///
-    /// If its socket is gone already.
+    /// Fails if a socket option cannot be set, for example because the socket is already closed.
     pub fn new(stream: TcpStream, dialect: Arc<dyn ClientDialect>) -> io::Result<Self> {
         stream.set_nodelay(true)?;
         socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(USER_TIMEOUT))?;
@@ -60,7 +60,7 @@
         })
     }
 
-    /// Waits for the next message. May be cancelled and called again.
+    /// Waits for the next message. Cancel-safe: buffered bytes are kept for the next call.
     pub async fn receive(&mut self) -> Received {
         loop {
             match self.dialect.decode(&mut self.input) {
@@ -80,7 +80,8 @@
         matches!(read, Ok(length) if length > 0)
     }
 
-    /// Waits until the client has closed the connection; keeps what it sends ahead.
+    /// Waits until the client closes the connection, and buffers what it sends in the meantime.
+    /// Once [`MAX_READ_AHEAD`] bytes are buffered, it stops reading and never completes.
     pub async fn closed(&mut self) {
         while self.input.len() < MAX_READ_AHEAD {
             if !self.read_more().await {
@@ -90,23 +91,23 @@
         std::future::pending::<()>().await;
     }
 
-    /// Says that the session is open; false if the client is gone.
+    /// Reports that the session is open; returns false if the write fails or times out.
     pub async fn send_started(&mut self) -> bool {
         self.dialect.encode_started(&mut self.output);
         self.flush().await
     }
 
-    /// Sends a statement's answer; false if the client is gone or reads too slowly.
+    /// Sends a statement's answer; returns false if the write fails or times out.
     pub async fn send_answer(&mut self, answer: &Answer) -> bool {
         self.dialect.encode_answer(answer, &mut self.output);
         self.flush().await
     }
 
-    /// Refuses the session and closes the connection.
+    /// Sends an error that ends the session and closes the connection.
     pub async fn refuse(&mut self, error: &ServerError) {
         self.dialect.encode_refusal(error, &mut self.output);
         if self.flush().await {
-            // The client may have closed already, which is as good.
+            // An error means that the client has already closed the connection.
             let _ = self.writer.shutdown().await;
         }
     }
--- a/crates/spurpier-pipeline/src/session/mod.rs
+++ b/crates/spurpier-pipeline/src/session/mod.rs
@@ -1,7 +1,8 @@
-//! Client sessions: from the connection to its end.
+//! Client sessions, from the accepted connection until it closes.
 //!
-//! A session reads one message at a time. While a statement runs it watches whether the client is
-//! still there; a client that vanishes ends the statement, and its server connection is closed.
+//! A session processes one message at a time. While a statement runs, the session also watches the
+//! client connection: if the client disconnects, the statement is cancelled and its server
+//! connection is closed.
 
 mod connection;
 mod state;
@@ -24,16 +25,17 @@
 use crate::ports::{ClientMessage, ErrorClass, Request, ServerError, TransactionState};
 use crate::tenant::AdmissionError;
 
-/// How long a client may take to open its session.
+/// Maximum time for a client to send its start-up message.
 const START_UP_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long a client's start-up waits for the first configuration.
+/// Maximum time that a start-up waits for the first configuration.
 const CONFIGURATION_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// For how long a session must have been quiet before a drain closes it.
+/// How long a session must be idle before a drain closes it.
 const MIN_DRAIN_IDLE_TIME: Duration = Duration::from_millis(150);
-/// Over how long a drain spreads the closing of quiet sessions.
+/// Maximum random delay added to [`MIN_DRAIN_IDLE_TIME`], so that idle sessions are not all closed
+/// at once.
 const MAX_DRAIN_JITTER: Duration = Duration::from_millis(600);
 
-/// Serves one client until either side ends the session.
+/// Serves one client connection until the client, a protocol violation or a drain ends it.
 pub async fn serve_client(context: Arc<Context>, stream: TcpStream, peer: SocketAddr) {
     let Ok(mut connection) = ClientConnection::new(stream, Arc::clone(&context.client_dialect))
     else {
@@ -52,7 +54,7 @@
     }
 }
 
-/// Opens the session; none if it was refused or the client left.
+/// Opens the session; returns `None` if it was refused or the client disconnected.
 async fn start_up(
     context: &Context,
     connection: &mut ClientConnection,
@@ -100,9 +102,9 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Ended {
-    /// By the client, or by a drain.
+    /// By the client, a failed write or a drain.
     Closed,
-    /// By bytes that are no message.
+    /// By a protocol violation.
     Violation,
 }
 
@@ -135,7 +137,8 @@
     Ended(Ended),
 }
 
-/// Waits for the next statement, the end of an idle transaction, or a drain.
+/// Waits for the next request or the end of the session. Expires an open transaction that stays
+/// idle for too long; a drain closes only sessions without a transaction.
 async fn next_request(
     context: &Context,
     connection: &mut ClientConnection,
@@ -166,12 +169,12 @@
     }
 }
 
-/// A moment that does not come.
+/// A placeholder deadline, one day ahead, for the disabled branch of `select!`.
 fn far_away() -> tokio::time::Instant {
     tokio::time::Instant::now() + Duration::from_secs(86_400)
 }
 
-/// Waits for the drain, and then until the session has been quiet long enough.
+/// Waits for the drain to start, then for the minimum idle time and a random delay.
 async fn drain_quietly(context: &Context) {
     context.draining.cancelled().await;
     let jitter = MAX_DRAIN_JITTER.mul_f64(rand::rng().random());
--- a/crates/spurpier-pipeline/src/session/state.rs
+++ b/crates/spurpier-pipeline/src/session/state.rs
@@ -1,4 +1,4 @@
-//! What is known of a client between its statements.
+//! The state of a session that persists between statements.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,39 +11,39 @@
 use crate::ports::{Effect, KeyDigest, TransactionState};
 use crate::server::Values;
 
-/// A prepared statement of a session.
+/// A prepared statement, stored by name in its session.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Prepared {
-    /// What executing it does.
+    /// Whether executing it changes data.
     pub effect: Effect,
-    /// Its shape.
+    /// The statement's shape, which each execution combines with its arguments.
     pub shape: String,
 }
 
-/// What a client said of itself when it opened its session.
+/// The database and key that a client presented at start-up.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClientCredentials {
-    /// The database that it named.
+    /// The requested database.
     pub database: String,
-    /// The digest of its key; none if it named none.
+    /// The digest of its API key; `None` if it presented none.
     pub key: Option<KeyDigest>,
 }
 
-/// What is known of a client between its statements.
+/// The state of a session that persists between statements.
 pub struct SessionState {
     pub(super) context: Arc<Context>,
     pub(super) client: ClientCredentials,
     pub(super) values: Values,
     pub(super) prepared: HashMap<String, Prepared>,
-    /// The last commit, and the group in whose log it stands.
+    /// The session's last commit and the group whose log contains it.
     pub(super) own_commit: Option<(String, SessionCommit)>,
     pub(super) transaction: Option<RoutedTransaction>,
-    /// When the last statement of the open transaction was answered.
+    /// When the last statement finished; the idle timeout of an open transaction starts here.
     pub(super) idle_since: Instant,
 }
 
 impl SessionState {
-    /// A session that has just been opened.
+    /// Creates the state of a newly opened session.
     pub fn new(context: Arc<Context>, client: ClientCredentials) -> Self {
         SessionState {
             context,
@@ -56,13 +56,13 @@
         }
     }
 
-    /// The state that the client was told last.
+    /// The transaction state last reported to the client.
     pub fn transaction_state(&self) -> TransactionState {
         let transaction = self.transaction.as_ref();
         transaction.map_or(TransactionState::Idle, RoutedTransaction::state)
     }
 
-    /// When the open transaction is ended if it goes on resting.
+    /// When the open transaction expires if it stays idle; `None` if none is open.
     pub fn transaction_expiry(&self) -> Option<Instant> {
         if self.transaction_state() != TransactionState::Open {
             return None;
@@ -71,14 +71,14 @@
         Some(self.idle_since + in_force.configuration.transaction_idle)
     }
 
-    /// Ends the open transaction, which has rested too long.
+    /// Ends the open transaction after its idle timeout; the session stays open.
     pub async fn expire_transaction(&mut self) {
         if let Some(transaction) = &mut self.transaction {
             transaction.expire().await;
         }
     }
 
-    /// Drops what is open when the session ends.
+    /// Ends the open transaction, if any, and discards it.
     pub async fn end(&mut self) {
         if let Some(mut transaction) = self.transaction.take() {
             transaction.expire().await;
--- a/crates/spurpier-pipeline/src/session/statements.rs
+++ b/crates/spurpier-pipeline/src/session/statements.rs
@@ -1,4 +1,5 @@
-//! A session's statements: those that it answers itself, and those that become units of work.
+//! Statement execution: statements that the session answers itself, and those that it runs as units
+//! of work.
 
 use std::sync::Arc;
 
@@ -14,7 +15,7 @@
 use crate::unit::{ClientStatement, Deadlines, NotRun, PreparedExecution, Unit, UnitResult};
 
 impl SessionState {
-    /// Runs a statement and gives its answer.
+    /// Runs a statement, records its duration in the metrics and returns its answer.
     pub async fn run(&mut self, request: Request) -> Answer {
         let started = Instant::now();
         let state = self.transaction_state();
@@ -29,7 +30,7 @@
         answer
     }
 
-    /// In a failed transaction only its end is taken.
+    /// In a failed transaction, only commit and rollback are accepted; both roll it back.
     async fn run_in_failed(&mut self, request: Request) -> Answer {
         match request.statement {
             Statement::Rollback => self.roll_back().await,
@@ -136,8 +137,8 @@
         answer
     }
 
-    /// Takes the leave that an operation of a tenant with a bounded rate needs; gives the answer of
-    /// one that must not start.
+    /// Acquires the permit to start an operation if the tenant has a rate limit; otherwise returns
+    /// `None`. The error is the answer to send if the permit is refused.
     async fn acquire_permit(
         &self,
         unit: &Unit,
@@ -156,7 +157,7 @@
         taken.map(Some).map_err(refuse)
     }
 
-    /// Gives a leave back if the operation has not run.
+    /// Returns the permit to the quota if the operation did not run.
     fn return_unused_permit(&self, permit: Option<OperationLeave>, answer: &Answer) {
         let is_not_run = answer.error_class().is_some_and(ErrorClass::is_not_run);
         if let Some(permit) = permit.filter(|_| is_not_run) {
@@ -186,8 +187,9 @@
         Answer::done(TransactionState::Idle)
     }
 
-    /// The unit of a statement outside a transaction, by the configuration in force now: a route
-    /// may have been dropped and a key taken away since the session was opened.
+    /// Builds the unit of work for a statement outside a transaction. Admission is checked against
+    /// the current configuration, because the route or key may have been removed since the session
+    /// was opened.
     fn unit(&self) -> Result<Unit, AdmissionError> {
         let in_force = self
             .context
@@ -210,7 +212,7 @@
         })
     }
 
-    /// Takes in what a unit has committed.
+    /// Records the position of a unit's commit, if any, and returns its answer.
     fn settle(&mut self, group: &str, done: UnitResult) -> Answer {
         if let Some(position) = done.committed {
             self.note_commit(group, position);
