--- a/crates/spurpier-pipeline/src/directory/connections.rs
+++ b/crates/spurpier-pipeline/src/directory/connections.rs
@@ -12,8 +12,8 @@
 /// Weight of a home in the server's region when its connections are divided; other homes have
 /// weight 1. The others keep some connections for reads that the servers of their own region cannot
 /// serve, and for a leader that only they can reach. The mean score of five simulated days (one run
-/// each) was 0.778 with weight 4 and leader requests routed to these homes, 0.772 with weight 3, and
-/// 0.761 with equal weights.
+/// each) was 0.778 with weight 4 and leader requests routed to these homes, 0.772 with weight 3,
+/// and 0.761 with equal weights.
 const NEAR_WEIGHT: usize = 4;
 
 /// This node's share of the connections to each server of a group.
--- a/crates/spurpier-pipeline/src/homes/authorities.rs
+++ b/crates/spurpier-pipeline/src/homes/authorities.rs
@@ -16,8 +16,8 @@
 const AUTHORITY_CANDIDATES: usize = 3;
 
 impl Homes {
-    /// The nodes that may count tenants' operations for a scope, in the order in which every node of
-    /// the scope tries them; only this node before the node list is known.
+    /// The nodes that may count tenants' operations for a scope, in the order in which every node
+    /// of the scope tries them; only this node before the node list is known.
     pub fn authorities(&self, scope: Scope) -> Arc<Vec<PeerNode>> {
         let mut inner = self.lock();
         if let Some(authorities) = inner.authorities.get(&scope) {
--- a/crates/spurpier-pipeline/src/homes/chosen.rs
+++ b/crates/spurpier-pipeline/src/homes/chosen.rs
@@ -14,8 +14,8 @@
 
 /// Assumed number of homes that share a server's connections until the node list is known.
 const UNKNOWN_NODES: usize = 12;
-/// Nodes whose bandwidth is below this fraction of the highest among the candidates are ranked last.
-/// A watcher sends each update to all its followers: 1,400 new routes are 69 KB per follower, which
+/// Nodes whose bandwidth is below this fraction of the highest among the candidates are ranked
+/// last. A watcher sends each update to all its followers: 1,400 new routes are 69 KB per follower, which
 /// takes 1.4 s for 49 followers on a link of 20 Mbit/s.
 const MIN_WIDE_LINK_SHARE: f64 = 0.5;
 
@@ -156,8 +156,8 @@
         }
     }
 
-    /// Sorts nodes by distance, and nodes at the same distance in an order specific to this node, so
-    /// that the nodes of a zone do not all try the same one first.
+    /// Sorts nodes by distance, and nodes at the same distance in an order specific to this node,
+    /// so that the nodes of a zone do not all try the same one first.
     pub fn sort_for_own_node(&self, nodes: &mut [PeerNode]) {
         let own = subject_digest(&self.name);
         nodes.sort_by_cached_key(|node| {
@@ -167,7 +167,7 @@
     }
 
     /// Selects up to `count` nodes for a subject: the best-ranked one, preferring high bandwidth,
-    /// and then nodes in other failure domains than those selected before.
+    /// and then nodes in other regions and zones than those selected before, where possible.
     pub fn rank_diverse(
         &self,
         nodes: &BTreeMap<&str, &NodeEntry>,
@@ -210,8 +210,8 @@
     }
 }
 
-/// Ranks nodes for a subject and returns their indices: nodes with high bandwidth before the others,
-/// and best rank first within each of the two classes.
+/// Ranks nodes for a subject and returns their indices: nodes with high bandwidth before the
+/// others, and best rank first within each of the two classes.
 fn rank_wide_first(members: &[(&str, &NodeEntry)], subject: &str) -> Vec<usize> {
     let ranked = members.iter();
     let ranked = ranked.map(|(name, node)| node.ranked(NodeKey(subject_digest(name))));
--- a/crates/spurpier-pipeline/src/homes/mod.rs
+++ b/crates/spurpier-pipeline/src/homes/mod.rs
@@ -1,4 +1,5 @@
-//! The nodes as the store lists them, and which of them are the homes of each group.
+//! The node list of the store, and the nodes selected from it: homes of groups, watchers of the
+//! store and quota authorities.
 
 mod authorities;
 mod chosen;
@@ -30,50 +31,50 @@
 #[derive(Debug)]
 struct Inner {
     own_name: String,
-    /// This node as it lists itself.
+    /// This node's entry according to its settings.
     own: NodeEntry,
-    /// The listed nodes; none before the list was read.
+    /// The listed nodes; `None` before the node list is known.
     nodes: Option<BTreeMap<String, ListedNode>>,
-    /// The store's era in which the list was last told.
+    /// The store's era in which the whole list was last read.
     era: StoreEra,
-    /// The listed nodes that are not about to end, and this one, by their ranks.
+    /// The listed nodes that are not leaving, and this one, with their ranks.
     fleet: Fleet,
-    /// The nodes that follow the store.
+    /// Cached selection of the nodes that follow the store; `None` after a change.
     watchers: Option<Arc<ChosenNodes>>,
-    /// The nodes that count tenants' operations, by whom they count for, in their order.
+    /// Cached quota authorities by scope, in order of preference.
     authorities: HashMap<Scope, Arc<Vec<PeerNode>>>,
-    /// Entries that were taken off the list, or replaced in a later era of the store.
+    /// Entries removed from the list, or replaced in a later era of the store, by node name.
     former: BTreeMap<String, FormerEntry>,
-    /// Writes of this node's own entry that the list does not show to be over.
+    /// Writes of this node's entry that the store may still apply.
     own_writes: Vec<OwnWrite>,
 }
 
-/// An entry that is listed no more, of a node that may still hold leases.
+/// A previous entry of a node that may still hold leases because of it.
 #[derive(Debug, Clone)]
 struct FormerEntry {
     entry: NodeEntry,
-    /// When it was seen that it is not listed.
+    /// When this node observed that the entry is no longer listed.
     since: Timestamp,
-    /// Whether the store has come back from an older copy: the node may have registered for more
-    /// groups than are known here, and the list has lost that.
+    /// Whether the store was restored from an older copy. The node may then have registered for more
+    /// groups than are known here, and the restored list lacks that registration.
     of_lost_era: bool,
 }
 
 impl FormerEntry {
-    /// Whether the node may hold the lease of a group.
+    /// Whether the node may still hold the leader lease of a group.
     fn may_hold(&self, group: &str, now: Timestamp) -> bool {
         let has_ended = now.since(self.since) >= FORMER_LEASE_TTL;
         !has_ended && (self.of_lost_era || self.entry.leases.contains(group))
     }
 }
 
-/// A write of this node's own entry, which may be carried out as long as the row that it replaces
-/// stands there.
+/// A conditional write of this node's entry: the store may apply it as long as it still holds the
+/// row version that the write replaces.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct OwnWrite {
-    /// The version of the row that it replaces; number 0 if there was none.
+    /// The version of the replaced row; number 0 if there was none.
     replaced: StoreVersion,
-    /// The groups that it tells of.
+    /// The groups that the written entry names.
     leases: LeaseScope,
 }
 
@@ -94,12 +95,13 @@
         }
     }
 
-    /// Takes in the version of this node's own row: writes that replace an older one are over.
+    /// Discards pending writes that replace a version older than this node's current row; the store
+    /// cannot apply them any more.
     fn record_own_version(&mut self, version: StoreVersion) {
         self.own_writes.retain(|write| write.replaced >= version);
     }
 
-    /// Lists a node, or takes it off the list.
+    /// Adds or replaces a node's entry, or removes it if `node` is `None`.
     fn set(&mut self, name: String, node: Option<ListedNode>, now: Timestamp) {
         if name == self.own_name
             && let Some(node) = &node
@@ -116,7 +118,7 @@
         self.record_former(name, before, node.as_ref(), now);
     }
 
-    /// Keeps what a node was listed with, as long as it may hold leases by that.
+    /// Keeps the previous entry of a node while the node may hold leases because of it.
     fn record_former(
         &mut self,
         name: String,
@@ -148,7 +150,7 @@
         }
     }
 
-    /// Moves a node's ranks if its entry has come to ask for that.
+    /// Updates a node's ranks if the change of its entry affects them.
     fn rank(&mut self, name: &str, before: Option<&NodeEntry>, after: Option<&NodeEntry>) {
         let is_same = match (before, after) {
             (Some(before), Some(after)) => before.is_ranked_as(after),
@@ -161,7 +163,8 @@
         self.watchers = None;
         self.authorities.clear();
         let stays = after.filter(|entry| !entry.leaving);
-        // A node that leaves goes on with what it has, and one that starts is about to be listed.
+        // This node stays ranked even if it is leaving or not yet listed: a leaving node continues to
+        // serve its groups, and a starting one is about to be listed.
         let own = (name == self.own_name).then_some(&self.own);
         self.fleet.put(name, stays.or(own));
     }
@@ -171,8 +174,8 @@
             .retain(|_, former| now.since(former.since) < FORMER_LEASE_TTL);
     }
 
-    /// The nodes that may hold the lease of a group's primary: those whose entry names the group,
-    /// also while they leave, and nodes whose former entry still counts.
+    /// The nodes that may hold the leader lease of a group: those whose entry names the group, even
+    /// while they are leaving, and those with a former entry that has not expired.
     fn lease_holders(&self, group: &str, now: Timestamp) -> BTreeMap<&String, &NodeEntry> {
         let former = self.former.iter();
         let former = former.filter(|(_, former)| former.may_hold(group, now));
@@ -180,37 +183,38 @@
         let listed = self.nodes.iter().flatten();
         let listed = listed.filter(|(_, node)| node.entry.leases.contains(group));
         let listed = listed.map(|(name, node)| (name, &node.entry));
-        // What is listed of a node goes before what was.
+        // The current entry of a node overrides a former one.
         former.chain(listed).collect()
     }
 }
 
-/// After so long a node that was taken off the list cannot use a lead any more.
+/// How long a node that was removed from the list may still hold a leader lease.
 const FORMER_LEASE_TTL: Duration = LEADER_LEASE.saturating_add(LEADER_LEASE_MARGIN);
 
-/// The nodes that are listed, and the homes of groups.
+/// The node list, and the selection of homes, watchers and quota authorities.
 #[derive(Debug)]
 pub struct Homes {
     own_name: String,
     own: NodeEntry,
     locality: OwnLocality,
     inner: Mutex<Inner>,
-    /// Whether the list of nodes has been read.
+    /// Whether the node list is known.
     is_known: watch::Sender<bool>,
-    /// Counts the changes of this node's entry and of the groups that it is a home of.
+    /// Incremented when this node's entry or the set of groups that it is a home of changes.
     own_changed: watch::Sender<u64>,
 }
 
-/// What nodes are ranked for as watchers of the store.
+/// Ranking subject for watchers. All nodes must use the same one, because the ranks are computed
+/// from its hash.
 const WATCHER_SUBJECT: &str = "store";
-/// How many nodes follow the store at least, if each zone has one; all do if they are no more.
+/// Target for the minimum number of watchers; with at most this many nodes, all are watchers.
 const MIN_WATCHERS: usize = 8;
-/// How many nodes follow one watcher, about. Fewer take less time to be told a whole table one after
-/// another, more share the price of what a watcher asks of the store.
+/// Approximate number of nodes that follow one watcher. Fewer followers shorten the time to send a
+/// whole table to each in turn; more followers share the cost of a watcher's load on the store.
 const FOLLOWERS_PER_WATCHER: usize = 32;
 
-/// How many watchers a starting node is told of, so that what a seed tells does not grow with the
-/// fleet.
+/// Maximum number of watchers returned to a starting node, so that a seed's response does not grow
+/// with the number of nodes.
 const MAX_ASSIGNED_WATCHERS: usize = 8;
 
 fn watchers_per_zone(nodes: usize, zones: usize) -> usize {
@@ -222,7 +226,7 @@
 }
 
 impl Homes {
-    /// The homes before any node is known.
+    /// Creates the homes before the node list is known.
     pub fn new(settings: &PipelineSettings) -> Self {
         let own_name = settings.node.name.clone();
         let own = NodeEntry::own(settings);
@@ -236,23 +240,23 @@
         }
     }
 
-    /// Waits until the list of nodes has been read, at most until `limit`.
+    /// Waits until the node list is known or the deadline `limit` passes.
     pub async fn wait_for_list(&self, limit: Instant) {
         if !*self.is_known.borrow() {
             let mut is_known = self.is_known.subscribe();
-            // If the time passes, this node goes on by itself.
+            // After the deadline, this node continues without the list.
             let _ = timeout_at(limit, is_known.wait_for(|is_known| *is_known)).await;
         }
     }
 
-    /// A receiver that is told of changes of this node's entry, and when it becomes a home of a
-    /// group or is one no more.
+    /// A receiver that is notified when this node's entry changes, or when it becomes or stops being
+    /// a home of a group.
     pub fn own_changes(&self) -> watch::Receiver<u64> {
         self.own_changed.subscribe()
     }
 
-    /// Takes in the whole list, as the store tells it in an era; tells whether a list of another era
-    /// was known.
+    /// Replaces the whole list by one read in an era of the store; returns whether a list of another
+    /// era was known.
     pub fn replace(
         &self,
         nodes: BTreeMap<String, ListedNode>,
@@ -274,8 +278,8 @@
         has_era_changed
     }
 
-    /// Takes in nodes that are listed, or are not listed any more; gives the groups whose homes
-    /// have changed.
+    /// Applies changed entries, and removes nodes whose entry is `None`; returns the groups whose
+    /// homes changed.
     pub fn change(
         &self,
         changes: Vec<(String, Option<ListedNode>)>,
@@ -297,22 +301,22 @@
         settled.groups
     }
 
-    /// Where a node is reached; none if it is not listed.
+    /// A node's address; `None` if it is not listed.
     pub fn address(&self, name: &str) -> Option<SocketAddr> {
         let inner = self.lock();
         let node = inner.nodes.as_ref()?.get(name)?;
         Some(node.entry.address)
     }
 
-    /// This node's entry as the store lists it.
+    /// This node's entry in the list, which may differ from its settings.
     pub fn own_listing(&self) -> Option<ListedNode> {
         let inner = self.lock();
         inner.nodes.as_ref()?.get(&self.own_name).cloned()
     }
 
-    /// Takes in that this node is about to write its entry with these groups, in the place of the
-    /// row of a version: until the list shows that the write is over, this node uses the primary
-    /// of no other group.
+    /// Records that this node is about to write its entry with these groups, replacing the row with
+    /// version `replaced`. Until the list shows a later version, this node does not use the primary
+    /// of any other group.
     pub fn record_own_write(&self, replaced: StoreVersion, leases: &LeaseScope) {
         let leases = leases.clone();
         let write = OwnWrite { replaced, leases };
@@ -322,19 +326,19 @@
         }
     }
 
-    /// Whether a write of this node's entry that may still be carried out lacks one of these
-    /// groups.
+    /// Whether a pending write of this node's entry, which the store may still apply, lacks one of
+    /// these groups.
     pub fn may_lose(&self, leases: &LeaseScope) -> bool {
         let inner = self.lock();
         let mut writes = inner.own_writes.iter();
         writes.any(|write| !write.leases.covers(leases))
     }
 
-    /// Whether this node's entry names a group whose primary it may use, when all changes of the
-    /// list are known up to `version`.
+    /// Whether this node's entry and all its pending writes name the group, so that it may use the
+    /// group's primary. All changes of the list up to `version` must be known.
     ///
-    /// A list that is read by pages may show a row that is newer than the page before: until the
-    /// changes between are known too, the entry allows nothing.
+    /// A list that is read in pages may contain a row that is newer than the previous page; until
+    /// the changes in between are known, such an entry is not used.
     pub fn may_hold_lease(&self, group: &str, version: StoreVersion) -> bool {
         let inner = self.lock();
         let listed = inner.nodes.as_ref();
@@ -345,9 +349,10 @@
         writes.all(|write| write.leases.contains(group)) && listed.is_some_and(allows)
     }
 
-    /// All other nodes that may hold the lease of a group's primary: those whose entry names the
-    /// group, also while they leave, nodes that were taken off the list a short time ago, and all that
-    /// were listed before the store came back from a copy a short time ago.
+    /// All other nodes that may hold the leader lease of a group: those whose entry names the group,
+    /// even while they are leaving; those that named it and were removed from the list within the
+    /// lease time; and all whose entries were lost or replaced within that time by a restore of the
+    /// store from a copy.
     pub fn lease_holders(&self, group: &str, now: Timestamp) -> Vec<PeerNode> {
         let inner = self.lock();
         let holders = inner.lease_holders(group, now).into_iter();
@@ -357,14 +362,15 @@
             .collect()
     }
 
-    /// Whether a decision on a group's primary waits for this node, listed or just taken off.
+    /// Whether a decision on a group's primary must wait for this node, because it may hold the
+    /// leader lease by its current or a former entry.
     pub fn is_awaited(&self, group: &str, now: Timestamp) -> bool {
         let inner = self.lock();
         let holders = inner.lease_holders(group, now);
         holders.contains_key(&self.own_name)
     }
 
-    /// The name of the listed node at an address, and the version of its row.
+    /// The name and row version of the listed node with this address.
     pub fn listed_at(&self, address: SocketAddr) -> Option<(String, StoreVersion)> {
         let inner = self.lock();
         let mut nodes = inner.nodes.as_ref()?.iter();
@@ -372,7 +378,7 @@
         Some((name.clone(), node.version))
     }
 
-    /// The homes of a group whose servers take so many connections each.
+    /// The homes of a group whose servers accept `connections` connections each.
     pub fn of(&self, group: &str, connections: usize) -> Arc<ChosenNodes> {
         let mut inner = self.lock();
         if inner.nodes.is_none() {
@@ -381,15 +387,15 @@
         inner.fleet.homes_of(group, connections, &self.locality)
     }
 
-    /// The groups that this node is a home of, among those that were asked for; none before the
-    /// list was read, when it is a home of all.
+    /// The groups that this node is a home of, among those passed to [`Homes::of`]; `None` before
+    /// the node list is known, when it is a home of all groups.
     pub fn served(&self) -> Option<Arc<[String]>> {
         let mut inner = self.lock();
         inner.nodes.as_ref()?;
         Some(inner.fleet.served())
     }
 
-    /// The nodes that follow the store; the others follow them.
+    /// The watchers: the nodes that follow the store directly. All other nodes follow a watcher.
     pub fn watchers(&self) -> Arc<ChosenNodes> {
         let mut inner = self.lock();
         if let Some(watchers) = &inner.watchers {
@@ -408,7 +414,8 @@
         watchers
     }
 
-    /// The watchers that a node of a zone is to follow, some of them; none before any is known.
+    /// A bounded selection of watchers for a node to follow, those of its zone first; `None` before
+    /// the node list is known.
     pub fn watchers_for(&self, name: &str, zone: &str) -> Option<WatcherAssignment> {
         if !*self.is_known.borrow() {
             return None;
@@ -437,8 +444,8 @@
         })
     }
 
-    /// The homes of a group in the order in which this node asks them for a tenant: first those in
-    /// the region of a zone.
+    /// The homes of a group in the order in which this node tries them for a tenant: those in the
+    /// region of `zone` first.
     pub fn ranked_for(&self, homes: &ChosenNodes, tenant: &str, zone: &str) -> Vec<Home> {
         let own = (self.own_name.as_str(), self.own.zone.as_str());
         homes.ranked_for(tenant, own, |other| {
@@ -446,25 +453,25 @@
         })
     }
 
-    /// The homes of a group in an order that is the same at all nodes, wherever they stand.
+    /// The homes of a group in an order that is the same on all nodes, regardless of locality.
     pub fn ranked_over_all(&self, homes: &ChosenNodes, subject: &str) -> Vec<Home> {
         let own = (self.own_name.as_str(), self.own.zone.as_str());
         homes.ranked_for(subject, own, |_| true)
     }
 
-    /// Whether a zone lies in this node's region.
+    /// Whether a zone is in this node's region.
     pub fn is_own_region(&self, zone: &str) -> bool {
         self.locality.distance(zone) != Distance::Remote
     }
 
-    /// How many homes stand in the region of a zone.
+    /// The number of homes in the region of a zone.
     pub fn count_near(&self, homes: &ChosenNodes, zone: &str) -> usize {
         let others = homes.others.iter();
         let near = others.filter(|home| self.locality.is_same_region(&home.zone, zone));
         near.count() + usize::from(homes.is_own && self.is_own_region(zone))
     }
 
-    /// How far a zone is.
+    /// The distance from this node to a zone.
     pub fn distance(&self, zone: &str) -> Distance {
         self.locality.distance(zone)
     }
@@ -474,7 +481,7 @@
     }
 }
 
-/// The nodes that are not about to end.
+/// The listed nodes that are not leaving, by name.
 fn nodes_not_leaving(listed: &BTreeMap<String, ListedNode>) -> BTreeMap<&str, &NodeEntry> {
     let entries = listed
         .iter()
--- a/crates/spurpier-pipeline/tests/homes.rs
+++ b/crates/spurpier-pipeline/tests/homes.rs
@@ -1,4 +1,5 @@
-//! The homes that follow a list of nodes are those that are computed from the whole list.
+//! Tests of the homes of groups: incremental updates give the same homes as a computation from the
+//! whole node list, and lease holders are known across removals and restores of the store.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -55,7 +56,7 @@
     }
 }
 
-/// A node's entry as one row tells it.
+/// The varying fields of a node's entry in one row.
 #[derive(Debug, Clone)]
 struct Entry {
     zone: u8,
@@ -85,12 +86,12 @@
     }
 }
 
-/// What the list tells next.
+/// An update of the node list.
 #[derive(Debug, Clone)]
 enum ListUpdate {
-    /// Some rows.
+    /// Changed rows; `None` removes a node.
     Rows(Vec<(u8, Option<Entry>)>),
-    /// The whole list, without these nodes.
+    /// A full read of the list, from which these nodes were removed.
     Whole(Vec<u8>),
 }
 
@@ -128,7 +129,7 @@
     NodeKey(subject_digest(name))
 }
 
-/// The homes of a group, computed from the whole list.
+/// Computes the homes of a group from the whole list.
 fn recompute_homes(
     list: &BTreeMap<String, ListedNode>,
     group: &str,
@@ -256,7 +257,7 @@
     assert!(own_changes.has_changed().expect("the sender lives"));
 }
 
-/// An entry's row in an era of the store.
+/// An entry listed in an era of the store.
 fn listed_in(era: u64, entry: &Entry) -> ListedNode {
     let era = StoreEra::new(era).expect("a small number");
     let version = StoreVersion::new(era, 1).expect("a small number");
@@ -277,7 +278,7 @@
     let homes = Homes::new(&settings());
     let list = (1..4).map(|number| (name(number), listed_in(1, &node(1))));
     homes.replace(list.collect(), era(1), Timestamp::ZERO);
-    // The copy lacks the first node, and an older entry of the second names another group.
+    // The restored copy lacks node 1 and holds an older entry of node 2 that names another group.
     let older = [(2, 0), (3, 1)];
     let older = older.map(|(number, group)| (name(number), listed_in(2, &node(group))));
     let returned_at = Timestamp::ZERO + Duration::from_secs(1);
@@ -287,7 +288,7 @@
         holders.map(|node| node.name).collect::<Vec<_>>()
     };
     assert_eq!(holders(returned_at), [name(1), name(2), name(3)]);
-    // What is told of them in the new era changes nothing of what they may have registered for.
+    // Updates in the new era do not show what the nodes registered for in the lost era.
     let later = vec![(name(2), Some(listed_in(2, &node(0)))), (name(2), None)];
     homes.change(later, returned_at);
     let ended = returned_at + LEADER_LEASE + LEADER_LEASE_MARGIN;
