--- a/crates/spurpier-pipeline/src/homes/chosen.rs
+++ b/crates/spurpier-pipeline/src/homes/chosen.rs
@@ -15,8 +15,8 @@
 /// Assumed number of homes that share a server's connections until the node list is known.
 const UNKNOWN_NODES: usize = 12;
 /// Nodes whose bandwidth is below this fraction of the highest among the candidates are ranked
-/// last. A watcher sends each update to all its followers: 1,400 new routes are 69 KB per follower, which
-/// takes 1.4 s for 49 followers on a link of 20 Mbit/s.
+/// last. A watcher sends each update to all its followers: 1,400 new routes are 69 KB per follower,
+/// which takes 1.4 s for 49 followers on a link of 20 Mbit/s.
 const MIN_WIDE_LINK_SHARE: f64 = 0.5;
 
 /// A node that other nodes can reach.
--- a/crates/spurpier-pipeline/src/homes/fleet.rs
+++ b/crates/spurpier-pipeline/src/homes/fleet.rs
@@ -1,8 +1,8 @@
 //! Incremental computation of the homes of each group from the ranks of the nodes.
 //!
 //! A changed row of the node list changes only that node's ranks. The homes of a group are
-//! recomputed only if one of its top ranks changed, or if the numbers of nodes or zones changed such that the
-//! number of homes per zone may differ.
+//! recomputed only if one of its top ranks changed, or if the numbers of nodes or zones changed
+//! such that the number of homes per zone may differ.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
--- a/crates/spurpier-pipeline/src/homes/mod.rs
+++ b/crates/spurpier-pipeline/src/homes/mod.rs
@@ -55,8 +55,8 @@
     entry: NodeEntry,
     /// When this node observed that the entry is no longer listed.
     since: Timestamp,
-    /// Whether the store was restored from an older copy. The node may then have registered for more
-    /// groups than are known here, and the restored list lacks that registration.
+    /// Whether the store was restored from an older copy. The node may then have registered for
+    /// more groups than are known here, and the restored list lacks that registration.
     of_lost_era: bool,
 }
 
@@ -163,8 +163,8 @@
         self.watchers = None;
         self.authorities.clear();
         let stays = after.filter(|entry| !entry.leaving);
-        // This node stays ranked even if it is leaving or not yet listed: a leaving node continues to
-        // serve its groups, and a starting one is about to be listed.
+        // This node stays ranked even if it is leaving or not yet listed: a leaving node continues
+        // to serve its groups, and a starting one is about to be listed.
         let own = (name == self.own_name).then_some(&self.own);
         self.fleet.put(name, stays.or(own));
     }
@@ -249,14 +249,14 @@
         }
     }
 
-    /// A receiver that is notified when this node's entry changes, or when it becomes or stops being
-    /// a home of a group.
+    /// A receiver that is notified when this node's entry changes, or when it becomes or stops
+    /// being a home of a group.
     pub fn own_changes(&self) -> watch::Receiver<u64> {
         self.own_changed.subscribe()
     }
 
-    /// Replaces the whole list by one read in an era of the store; returns whether a list of another
-    /// era was known.
+    /// Replaces the whole list by one read in an era of the store; returns whether a list of
+    /// another era was known.
     pub fn replace(
         &self,
         nodes: BTreeMap<String, ListedNode>,
@@ -349,10 +349,10 @@
         writes.all(|write| write.leases.contains(group)) && listed.is_some_and(allows)
     }
 
-    /// All other nodes that may hold the leader lease of a group: those whose entry names the group,
-    /// even while they are leaving; those that named it and were removed from the list within the
-    /// lease time; and all whose entries were lost or replaced within that time by a restore of the
-    /// store from a copy.
+    /// All other nodes that may hold the leader lease of a group: those whose entry names the
+    /// group, even while they are leaving; those that named it and were removed from the list
+    /// within the lease time; and all whose entries were lost or replaced within that time by a
+    /// restore of the store from a copy.
     pub fn lease_holders(&self, group: &str, now: Timestamp) -> Vec<PeerNode> {
         let inner = self.lock();
         let holders = inner.lease_holders(group, now).into_iter();
