--- a/crates/spurpier-pipeline/src/clock.rs
+++ b/crates/spurpier-pipeline/src/clock.rs
@@ -11,9 +11,9 @@
 /// A gap between two ticks from which on the process counts as having stood still.
 const STALL: Duration = Duration::from_millis(250);
 /// For how long after a stall messages may still be read that came during it.
-const AFTER_STALL: Duration = Duration::from_millis(100);
+const STALL_READ_WINDOW: Duration = Duration::from_millis(100);
 /// What lies before the origin, so that moments before the start can be told.
-const HEAD_START: Duration = Duration::from_secs(3_600);
+const ORIGIN_OFFSET: Duration = Duration::from_secs(3_600);
 
 #[derive(Debug, Clone, Copy)]
 struct Ticks {
@@ -31,7 +31,7 @@
 impl Clock {
     /// A clock that starts now.
     pub fn new() -> Self {
-        let last = Timestamp::ZERO + HEAD_START;
+        let last = Timestamp::ZERO + ORIGIN_OFFSET;
         Clock {
             origin: Instant::now(),
             ticks: Arc::new(Mutex::new(Ticks { last, stall: None })),
@@ -40,12 +40,12 @@
 
     /// The present time.
     pub fn now(&self) -> Timestamp {
-        Timestamp::ZERO + HEAD_START + self.origin.elapsed()
+        Timestamp::ZERO + ORIGIN_OFFSET + self.origin.elapsed()
     }
 
     /// When the clock was made.
     pub fn started_at(&self) -> Timestamp {
-        Timestamp::ZERO + HEAD_START
+        Timestamp::ZERO + ORIGIN_OFFSET
     }
 
     /// How long the clock has run.
@@ -55,7 +55,7 @@
 
     /// The point of the runtime's clock that `moment` stands for.
     pub fn instant(&self, moment: Timestamp) -> Instant {
-        self.origin + moment.since(Timestamp::ZERO + HEAD_START)
+        self.origin + moment.since(Timestamp::ZERO + ORIGIN_OFFSET)
     }
 
     /// The earliest moment at which a message that is read now may have come.
@@ -69,7 +69,7 @@
             return ticks.last;
         }
         match ticks.stall {
-            Some((from, to)) if now.since(to) < AFTER_STALL => from,
+            Some((from, to)) if now.since(to) < STALL_READ_WINDOW => from,
             _ => now,
         }
     }
--- a/crates/spurpier-pipeline/src/context.rs
+++ b/crates/spurpier-pipeline/src/context.rs
@@ -41,7 +41,7 @@
 };
 
 /// Connections that a server is taken to allow before the configuration is known.
-const UNKNOWN_LIMIT: usize = 8;
+const DEFAULT_CONNECTION_LIMIT: usize = 8;
 
 /// The groups that this node is a home of.
 #[derive(Debug)]
@@ -65,7 +65,7 @@
 }
 
 /// What log lines name as the teller of the store's own answers.
-pub const TOLD_BY_STORE: &str = "store";
+pub const STORE_SOURCE: &str = "store";
 
 /// What all sessions and tasks of a node share.
 pub struct Context {
@@ -114,7 +114,7 @@
     /// Whether the servers have been read once.
     pub directory_known: watch::Sender<bool>,
     /// Whether this node took the promotion duty and has not seen another holder since.
-    pub holds_duty: AtomicBool,
+    pub holds_promotion_lease: AtomicBool,
     /// Told when this node comes to want the lease of another group.
     pub lease_wanted: Notify,
     /// Bounds attempts beyond the first.
@@ -194,7 +194,7 @@
     }
 
     /// Takes in that this node stands in for a group's homes, or sees to its primary.
-    pub fn note_visited(&self, group: &Arc<Group>) {
+    pub fn record_visited(&self, group: &Arc<Group>) {
         let mut visited = locked(&self.visited);
         visited.insert(group.name.clone(), Arc::clone(group));
     }
@@ -214,7 +214,7 @@
     /// One in ten is left for nodes that have not taken in yet which nodes are homes.
     pub fn usable_connections(&self, group: &str) -> usize {
         let known = self.in_force().and_then(|known| known.connections(group));
-        known.unwrap_or(UNKNOWN_LIMIT) * 9 / 10
+        known.unwrap_or(DEFAULT_CONNECTION_LIMIT) * 9 / 10
     }
 
     /// Whether this node holds the lease to use a group's primary.
@@ -235,7 +235,7 @@
         let groups = self.groups_in_use();
         LeaseScope {
             groups: groups.iter().map(|group| group.name.clone()).collect(),
-            is_all: self.holds_duty.load(Ordering::Relaxed),
+            is_all: self.holds_promotion_lease.load(Ordering::Relaxed),
         }
     }
 
@@ -246,8 +246,8 @@
     }
 
     /// Takes in that a server takes over a group; tells whether that is new.
-    pub fn take_succession(&self, group: &Group, succession: &Succession) -> bool {
-        let is_new = group.take_succession(succession, self.clock.now());
+    pub fn record_succession(&self, group: &Group, succession: &Succession) -> bool {
+        let is_new = group.record_succession(succession, self.clock.now());
         if is_new {
             log_event!(
                 events::SUCCESSION_KNOWN,
@@ -265,12 +265,12 @@
     }
 
     /// Takes in that the store has answered.
-    pub fn note_store_answer(&self) {
+    pub fn record_store_answer(&self) {
         self.store_lost.store(false, Ordering::Relaxed);
     }
 
     /// Takes in the era in which the store was told of; false if a later one is known.
-    pub fn note_store_era(&self, era: StoreEra, told_by: &str) -> bool {
+    pub fn record_store_era(&self, era: StoreEra, told_by: &str) -> bool {
         let is_later = self.store_era.send_if_modified(|known| {
             let is_later = era > *known;
             *known = era.max(*known);
@@ -288,25 +288,25 @@
     }
 
     /// Takes in that the store has not answered.
-    pub fn note_store_failure(&self) {
+    pub fn record_store_failure(&self) {
         self.store_lost.store(true, Ordering::Relaxed);
     }
 
     /// Whether this node reaches the store, as far as it has tried, and goes on running.
-    pub fn can_hold_duty(&self) -> bool {
+    pub fn can_hold_promotion_lease(&self) -> bool {
         !self.draining.is_cancelled() && !self.store_lost.load(Ordering::Relaxed)
     }
 
     /// Takes in which node holds the promotion duty.
-    pub fn note_duty_holder(&self, holder: &str) {
+    pub fn record_promotion_lease_holder(&self, holder: &str) {
         let is_own = holder == self.settings.node.name;
-        if self.holds_duty.swap(is_own, Ordering::Relaxed) != is_own {
+        if self.holds_promotion_lease.swap(is_own, Ordering::Relaxed) != is_own {
             self.lease_wanted.notify_one();
         }
     }
 
     /// Takes in a statement's first attempt, which earns a part of a further one.
-    pub fn note_first_attempt(&self) {
+    pub fn record_first_attempt(&self) {
         let budget = &self.retry_budget;
         let mut budget = budget.lock().unwrap_or_else(PoisonError::into_inner);
         budget.record_attempt();
--- a/crates/spurpier-pipeline/src/era.rs
+++ b/crates/spurpier-pipeline/src/era.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::context::{Context, TOLD_BY_STORE};
+use crate::context::{Context, STORE_SOURCE};
 use crate::ports::{StoreError, TransactOutcome, Transaction};
 
 /// Makes a transaction whose conditions were seen in one era of the store.
@@ -19,7 +19,7 @@
     let expected = expected.map(|condition| condition.version.era());
     let outcome = Arc::clone(&context.store).transact(transaction).await?;
     if let TransactOutcome::Made(version) = &outcome {
-        context.note_store_era(version.era(), TOLD_BY_STORE);
+        context.record_store_era(version.era(), STORE_SOURCE);
         if expected.is_some_and(|expected| expected != version.era()) {
             return Err(StoreError::EraChanged);
         }
--- a/crates/spurpier-pipeline/src/follow/mod.rs
+++ b/crates/spurpier-pipeline/src/follow/mod.rs
@@ -20,7 +20,7 @@
 use spurpier_events::log_event;
 use tokio::time::Instant;
 
-use crate::context::{Context, TOLD_BY_STORE};
+use crate::context::{Context, STORE_SOURCE};
 use crate::events;
 use crate::homes::PeerNode;
 use crate::known_tables::{Compared, News};
@@ -231,7 +231,7 @@
     /// this node reads the table anew: rows that it knows to be gone would come back for good.
     fn take_news(&mut self, news: News, told_at: Timestamp, told_by: &str) -> TakenNews {
         let known = &self.context.known_tables;
-        let is_present = self.context.note_store_era(news.version.era(), told_by);
+        let is_present = self.context.record_store_era(news.version.era(), told_by);
         if !is_present || news.version < known.version(self.table) {
             return TakenNews::Behind;
         }
@@ -359,14 +359,14 @@
                 self.note_answer();
                 if !self
                     .context
-                    .note_store_era(read.version.era(), TOLD_BY_STORE)
+                    .record_store_era(read.version.era(), STORE_SOURCE)
                 {
                     return self.note_failure(StoreError::EraChanged).await;
                 }
                 let told_at = self.moment_of(&read, asked_at);
                 let rows = self.sink.told_form(read.rows);
                 let rows = self.sink.whole_table(&rows, true).unwrap_or(rows);
-                self.take_all(rows, read.version, told_at, TOLD_BY_STORE);
+                self.take_all(rows, read.version, told_at, STORE_SOURCE);
                 return;
             }
             Some(Err(error)) => error,
@@ -405,7 +405,7 @@
             Some(Ok(changes)) => {
                 self.note_answer();
                 let told = changes.version;
-                self.context.note_store_era(told.era(), TOLD_BY_STORE);
+                self.context.record_store_era(told.era(), STORE_SOURCE);
                 match continuity(after, told, self.context.era()) {
                     Continuity::Complete => {}
                     Continuity::EraChanged => {
@@ -419,7 +419,7 @@
                 let told_at = self.moment_of(&changes, asked_at);
                 let rows = self.sink.told_form(changes.rows);
                 match self.sink.whole_table(&rows, false) {
-                    Some(rows) => self.take_all(rows, changes.version, told_at, TOLD_BY_STORE),
+                    Some(rows) => self.take_all(rows, changes.version, told_at, STORE_SOURCE),
                     None => self.take_changes(&rows, changes.version, told_at),
                 }
                 if self.is_due_to_pause(&rows) {
@@ -455,7 +455,7 @@
 
     fn note_answer(&mut self) {
         self.context.metrics.count_store_call(true);
-        self.context.note_store_answer();
+        self.context.record_store_answer();
         self.backoff.reset();
         if std::mem::take(&mut self.lost) {
             log_event!(events::STORE_REGAINED, table = format!("{:?}", self.table));
@@ -464,7 +464,7 @@
 
     async fn note_failure(&mut self, error: StoreError) {
         self.context.metrics.count_store_call(false);
-        self.context.note_store_failure();
+        self.context.record_store_failure();
         self.store_again_at = self.context.clock.now() + STORE_AGAIN;
         if !std::mem::replace(&mut self.lost, true) {
             log_event!(
--- a/crates/spurpier-pipeline/src/group.rs
+++ b/crates/spurpier-pipeline/src/group.rs
@@ -20,9 +20,9 @@
 use spurpier_events::log_event;
 
 /// For how long a node that reaches the lead is used in the place of this one.
-const RELAY_USE: Duration = Duration::from_millis(900);
+const RELAY_DURATION: Duration = Duration::from_millis(900);
 /// For how long a node that stood in for the homes looks after the group as they do.
-const STAND_IN: Duration = Duration::from_secs(3);
+const STAND_IN_DURATION: Duration = Duration::from_secs(3);
 
 #[derive(Debug, Default)]
 struct GroupInner {
@@ -188,7 +188,7 @@
 
     /// Takes in that a server takes over: from now on no other is used as the lead. Tells whether
     /// that is new.
-    pub fn take_succession(&self, succession: &Succession, now: Timestamp) -> bool {
+    pub fn record_succession(&self, succession: &Succession, now: Timestamp) -> bool {
         {
             let mut inner = self.lock();
             if !inner.leading.apply_succession(succession, now) {
@@ -309,7 +309,7 @@
 
     /// Notes a node that reaches the lead while this one does not.
     pub fn set_relay(&self, relay: PeerNode, now: Timestamp) {
-        self.lock().relay = Some((relay, now + RELAY_USE));
+        self.lock().relay = Some((relay, now + RELAY_DURATION));
     }
 
     /// The node that reaches the lead while this one does not.
@@ -321,7 +321,7 @@
 
     /// Takes in that this node runs units in the place of homes that it cannot reach.
     pub fn stand_in(&self, now: Timestamp) {
-        self.lock().stands_in_until = now + STAND_IN;
+        self.lock().stands_in_until = now + STAND_IN_DURATION;
     }
 
     /// Whether this node has just run units in the place of homes that it cannot reach.
--- a/crates/spurpier-pipeline/src/membership.rs
+++ b/crates/spurpier-pipeline/src/membership.rs
@@ -23,26 +23,26 @@
 use crate::promotion::{report_release_by_store, restore_succession};
 
 /// How long one write of the own entry may take.
-const WRITE_LIMIT: Duration = Duration::from_secs(1);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 /// The pause after a write that failed.
-const WRITE_PAUSE: Duration = Duration::from_millis(700);
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(700);
 /// How often the entry of a node that leaves is tried to be written.
-const LEAVING_WRITES: usize = 3;
+const MAX_LEAVING_WRITES: usize = 3;
 /// The pause between two of these.
-const LEAVING_PAUSE: Duration = Duration::from_millis(200);
+const LEAVING_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// How long a starting node waits to read who is listed before it lists itself: after a restart its
 /// entry still stands there.
-const LIST_LIMIT: Duration = Duration::from_secs(1);
+const LIST_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long a starting node then waits for the groups, so that one write names those it serves.
-const GROUPS_LIMIT: Duration = Duration::from_millis(500);
+const GROUPS_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long a node waits to be told of its own write before it writes again. Longer than a node
 /// that follows another one waits for its news.
-const TOLD_LIMIT: Duration = Duration::from_secs(3);
+const OWN_WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 /// How often the own entry is compared with what it should be, if nothing tells of a change.
-const LOOK_INTERVAL: Duration = Duration::from_secs(1);
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// For how long an entry may name groups of which the node uses the primary no more: the homes of
 /// a group often change back when a node has restarted, and each write is paid for.
-const SURPLUS_KEPT: Duration = Duration::from_secs(6);
+const SURPLUS_RETENTION: Duration = Duration::from_secs(6);
 
 /// What stands before a group's name in the key of its succession's row.
 const SUCCESSION_PREFIX: &str = "lead/";
@@ -63,7 +63,7 @@
     if !context.settings.node.first_start {
         context
             .homes
-            .wait_for_list(Instant::now() + LIST_LIMIT)
+            .wait_for_list(Instant::now() + LIST_TIMEOUT)
             .await;
         await_groups(&context).await;
     }
@@ -82,7 +82,7 @@
                 surplus_since = None;
                 false
             }
-            EntryState::Surplus => now - *surplus_since.get_or_insert(now) >= SURPLUS_KEPT,
+            EntryState::Surplus => now - *surplus_since.get_or_insert(now) >= SURPLUS_RETENTION,
             EntryState::Lacking => true,
         };
         // A former write that is carried out late would take back a group that is in use.
@@ -93,8 +93,8 @@
         }
         surplus_since = None;
         match write_own(&context, listing.as_ref(), entry).await {
-            Some(version) => await_told(&context, &mut changes, version).await,
-            None => tokio::time::sleep(WRITE_PAUSE).await,
+            Some(version) => await_own_write(&context, &mut changes, version).await,
+            None => tokio::time::sleep(WRITE_RETRY_DELAY).await,
         }
     }
 }
@@ -138,7 +138,7 @@
         let _ = configuration.wait_for(Option::is_some).await;
     };
     // If the time passes, the node is listed without groups, and again with them.
-    let _ = timeout(GROUPS_LIMIT, known).await;
+    let _ = timeout(GROUPS_TIMEOUT, known).await;
 }
 
 /// Waits for a change of this node's entry or wants, or for the next look.
@@ -147,13 +147,17 @@
         // The sender lives as long as the context.
         _ = changes.changed() => {}
         () = context.lease_wanted.notified() => {}
-        () = tokio::time::sleep(LOOK_INTERVAL) => {}
+        () = tokio::time::sleep(CHECK_INTERVAL) => {}
         () = context.draining.cancelled() => {}
     }
 }
 
 /// Waits until the list shows this node's entry of a version, for a while.
-async fn await_told(context: &Context, changes: &mut watch::Receiver<u64>, version: StoreVersion) {
+async fn await_own_write(
+    context: &Context,
+    changes: &mut watch::Receiver<u64>,
+    version: StoreVersion,
+) {
     let told = async {
         loop {
             let listing = context.homes.own_listing();
@@ -166,7 +170,7 @@
         }
     };
     // If the time passes, the entry is compared and written anew.
-    let _ = timeout(TOLD_LIMIT, told).await;
+    let _ = timeout(OWN_WRITE_TIMEOUT, told).await;
 }
 
 /// Writes this node's entry, if it is listed as it is known to be: a write that is carried out
@@ -196,7 +200,7 @@
 /// Tells that this node is about to end, if the store answers: others give it no more work, and
 /// still ask it before a primary that it may use is replaced.
 pub async fn list_leaving(context: &Context) {
-    for _ in 0..LEAVING_WRITES {
+    for _ in 0..MAX_LEAVING_WRITES {
         let listing = context.homes.own_listing();
         let listed = listing.as_ref().map(|listing| listing.entry.clone());
         let entry = NodeEntry {
@@ -206,7 +210,7 @@
         if write_own(context, listing.as_ref(), entry).await.is_some() {
             return;
         }
-        tokio::time::sleep(LEAVING_PAUSE).await;
+        tokio::time::sleep(LEAVING_RETRY_DELAY).await;
     }
 }
 
@@ -231,7 +235,7 @@
         shard: Shard::of_node(node),
     };
     let call = transact_in_era(context, transaction);
-    match timeout(WRITE_LIMIT, call).await {
+    match timeout(WRITE_TIMEOUT, call).await {
         Ok(Ok(TransactOutcome::Made(version))) => Some(version),
         Ok(Ok(TransactOutcome::Conflict(_)) | Err(_)) | Err(_) => None,
     }
@@ -284,7 +288,7 @@
         let nodes = nodes.collect();
         let has_era_changed = self.0.homes.replace(nodes, version.era(), now);
         for row in &successions {
-            self.take_succession(row);
+            self.record_succession(row);
         }
         if has_era_changed {
             self.restore_lost(&successions, version);
@@ -296,7 +300,7 @@
         let (nodes, successions): (Vec<&Row>, Vec<&Row>) =
             rows.iter().partition(|row| is_node_row(row));
         for row in successions {
-            self.take_succession(row);
+            self.record_succession(row);
         }
         if nodes.is_empty() {
             return;
@@ -334,7 +338,7 @@
         }
     }
 
-    fn take_succession(&self, row: &Row) {
+    fn record_succession(&self, row: &Row) {
         let Some(group) = row.key.strip_prefix(SUCCESSION_PREFIX) else {
             return;
         };
@@ -343,7 +347,7 @@
             return;
         };
         let group = self.0.group(group);
-        if self.0.take_succession(&group, &succession) {
+        if self.0.record_succession(&group, &succession) {
             tokio::spawn(report_release_by_store(
                 Arc::clone(&self.0),
                 group,
--- a/crates/spurpier-pipeline/src/node.rs
+++ b/crates/spurpier-pipeline/src/node.rs
@@ -42,13 +42,13 @@
 use crate::settings::{ListenSettings, PipelineSettings};
 
 /// How long the listener rests after a failed accept, as when descriptors have run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// For how long a draining node still takes clients that the load balancer sends it.
-const ACCEPT_ON: Duration = Duration::from_millis(2_600);
+const MAX_DRAIN_ACCEPT: Duration = Duration::from_millis(2_600);
 
 /// How many other nodes are told much of a table at the same time. 1,400 routes are 69 KB for each,
 /// so that three take 0.17 s of a link of 10 Mbit/s, and nobody takes this node as silent.
-const NEWS_TURNS: usize = 3;
+const MAX_LARGE_TRANSFERS: usize = 3;
 /// Groups that other nodes want seen to and that were not looked at yet.
 const WANTED_CAPACITY: usize = 64;
 
@@ -140,7 +140,7 @@
         let (context, listeners, lost) = Context::new(parts);
         let context = Arc::new(context);
         start_tasks(&context, listeners.ready);
-        start_duty(&context, listeners.internal);
+        start_promotion(&context, listeners.internal);
         tokio::spawn(unlist_lost(Arc::clone(&context), lost));
         tokio::spawn(forward::serve(Arc::clone(&context), listeners.forwarded));
         // Nodes that start ask the seeds at their control addresses.
@@ -205,10 +205,10 @@
             store_regained_at: Mutex::default(),
             store_era: watch::Sender::new(StoreEra::UNREPORTED),
             directory_known: watch::Sender::new(false),
-            holds_duty: AtomicBool::new(false),
+            holds_promotion_lease: AtomicBool::new(false),
             lease_wanted: Notify::new(),
             known_tables: KnownTables::new(),
-            news_turns: std::array::from_fn(|_| Arc::new(Semaphore::new(NEWS_TURNS))),
+            news_turns: std::array::from_fn(|_| Arc::new(Semaphore::new(MAX_LARGE_TRANSFERS))),
             metrics: Metrics::default(),
             log_budget: LogBudget::default(),
             forwarded: TaskTracker::new(),
@@ -238,7 +238,7 @@
     start_seats(context);
 }
 
-fn start_duty(context: &Arc<Context>, socket: UdpSocket) {
+fn start_promotion(context: &Arc<Context>, socket: UdpSocket) {
     let (sender, wanted) = mpsc::channel(WANTED_CAPACITY);
     let peers = Peers::new(Arc::clone(context), socket, sender);
     tokio::spawn(Arc::clone(&peers).receive());
@@ -256,7 +256,7 @@
             Ok((stream, peer)) => {
                 sessions.spawn(serve_client(Arc::clone(context), stream, peer));
             }
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
@@ -274,7 +274,7 @@
     tokio::spawn(async move { list_leaving(&leaving).await });
     let started = Instant::now();
     let grace = Duration::from_millis(context.settings.bounds.grace_ms);
-    let accept_on = ACCEPT_ON.min(grace * 2 / 5);
+    let accept_on = MAX_DRAIN_ACCEPT.min(grace * 2 / 5);
     // It ends by the time alone.
     let _ = timeout(accept_on, accept(context, &listener, sessions)).await;
     drop(listener);
--- a/crates/spurpier-pipeline/src/progress.rs
+++ b/crates/spurpier-pipeline/src/progress.rs
@@ -55,7 +55,7 @@
     }
 
     /// Until when an answer counts as coming; none if nothing has come.
-    fn moves_until(&self) -> Option<Instant> {
+    fn progressing_until(&self) -> Option<Instant> {
         let last_at = *self.0.last_at();
         last_at.map(|last_at| last_at + STALLED_AFTER)
     }
@@ -76,11 +76,11 @@
             biased;
             answer = &mut answer => return Some(answer),
             () = sleep_until(limit) => {
-                let moves_until = progress.moves_until()?.min(last);
-                if moves_until <= Instant::now() {
+                let progressing_until = progress.progressing_until()?.min(last);
+                if progressing_until <= Instant::now() {
                     return None;
                 }
-                limit = moves_until;
+                limit = progressing_until;
             }
         }
     }
--- a/crates/spurpier-pipeline/src/promotion/lease.rs
+++ b/crates/spurpier-pipeline/src/promotion/lease.rs
@@ -13,7 +13,7 @@
 use tokio::time::timeout;
 
 use super::successor::Successor;
-use crate::context::{Context, TOLD_BY_STORE};
+use crate::context::{Context, STORE_SOURCE};
 use crate::era::transact_in_era;
 use crate::events;
 use crate::group::Group;
@@ -91,11 +91,11 @@
     )
     .await;
     let Ok(Ok(read)) = read else {
-        context.note_store_failure();
+        context.record_store_failure();
         return None;
     };
-    context.note_store_answer();
-    if !context.note_store_era(read.version.era(), TOLD_BY_STORE) {
+    context.record_store_answer();
+    if !context.record_store_era(read.version.era(), STORE_SOURCE) {
         return None;
     }
     let row = read.rows.iter().find(|row| row.key == HOLDER_KEY);
@@ -104,7 +104,7 @@
         version: row.map_or(read.version.for_absent_row(), |row| row.version),
     };
     if let Some(row) = &lease.row {
-        context.note_duty_holder(&row.holder);
+        context.record_promotion_lease_holder(&row.holder);
     }
     let releases = read.rows.iter().filter_map(stored_release).collect();
     Some(PromotionLeaseState { lease, releases })
@@ -195,7 +195,7 @@
         return None;
     };
     log_event!(events::DUTY_TAKEN, token = next.token);
-    context.note_duty_holder(&next.holder);
+    context.record_promotion_lease_holder(&next.holder);
     Some(Decision {
         succession,
         version,
--- a/crates/spurpier-pipeline/src/promotion/peers.rs
+++ b/crates/spurpier-pipeline/src/promotion/peers.rs
@@ -96,7 +96,9 @@
                 if let Some(region) = region {
                     self.record_move_request(&group, region);
                 }
-                if self.context.can_hold_duty() && self.requested_groups.try_send(group).is_ok() {
+                if self.context.can_hold_promotion_lease()
+                    && self.requested_groups.try_send(group).is_ok()
+                {
                     self.send(&PeerMessage::Acknowledged { request_id }, from)
                         .await;
                 }
--- a/crates/spurpier-pipeline/src/promotion/round.rs
+++ b/crates/spurpier-pipeline/src/promotion/round.rs
@@ -232,7 +232,7 @@
     if group.is_ordering() {
         return false;
     }
-    context.take_succession(group, succession);
+    context.record_succession(group, succession);
     // A node that requests the table from this one, as after a restart, must receive the row too.
     let row = Row {
         key: succession_key(&group.name),
--- a/crates/spurpier-pipeline/src/promotion/watch.rs
+++ b/crates/spurpier-pipeline/src/promotion/watch.rs
@@ -87,7 +87,7 @@
             return;
         }
         group.set_attended(true);
-        context.note_visited(&group);
+        context.record_visited(&group);
         context.lease_wanted.notify_one();
         let task = PromotionTask {
             context: Arc::clone(context),
--- a/crates/spurpier-pipeline/src/unit/mod.rs
+++ b/crates/spurpier-pipeline/src/unit/mod.rs
@@ -216,7 +216,7 @@
     /// Records that this node runs the unit in place of homes that it cannot reach.
     pub fn stand_in(&self) {
         self.group.stand_in(self.context.clock.now());
-        self.context.note_visited(&self.group);
+        self.context.record_visited(&self.group);
         self.context.lease_wanted.notify_one();
     }
 
--- a/crates/spurpier-pipeline/src/unit/read.rs
+++ b/crates/spurpier-pipeline/src/unit/read.rs
@@ -27,7 +27,7 @@
 impl Unit {
     /// Runs a read with the freshness that its route requires.
     pub async fn read(&self, statement: &ClientStatement) -> UnitResult {
-        self.context.note_first_attempt();
+        self.context.record_first_attempt();
         let answer = if self.is_latest() {
             self.read_latest(statement).await
         } else {
--- a/crates/spurpier-pipeline/src/unit/write.rs
+++ b/crates/spurpier-pipeline/src/unit/write.rs
@@ -16,7 +16,7 @@
 impl Unit {
     /// Runs a write on the leader.
     pub async fn write(&self, statement: &ClientStatement) -> UnitResult {
-        self.context.note_first_attempt();
+        self.context.record_first_attempt();
         let mut refused = NotRun::NoLeader;
         for _ in 0..MAX_ATTEMPTS {
             let leased = match self.acquire_leader(self.deadlines.wait_until).await {
--- a/crates/spurpier-pipeline/tests/log_budget.rs
+++ b/crates/spurpier-pipeline/tests/log_budget.rs
@@ -5,7 +5,7 @@
 use spurpier_pipeline::log_budget::LogBudget;
 
 #[test]
-fn lines_beyond_the_budget_are_counted_and_told() {
+fn suppressed_lines_are_counted_and_reported() {
     let budget = LogBudget::default();
     let at = Timestamp::from_millis;
     let written = (0..200)
