--- a/crates/spurpier-pipeline/src/clock.rs
+++ b/crates/spurpier-pipeline/src/clock.rs
@@ -1,4 +1,4 @@
-//! The node's steady clock as the decision code sees it, and pauses of the whole process.
+//! The node's monotonic clock, and detection of stalls of the whole process.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -6,22 +6,24 @@
 use spurpier_core::time::Timestamp;
 use tokio::time::Instant;
 
-/// How often the clock looks whether the process runs.
+/// Interval at which the clock records that the process is running.
 const TICK: Duration = Duration::from_millis(100);
-/// A gap between two ticks from which on the process counts as having stood still.
+/// Shortest gap between two ticks that counts as a stall of the process.
 const STALL: Duration = Duration::from_millis(250);
-/// For how long after a stall messages may still be read that came during it.
+/// Time after a stall during which messages that arrived in the stall may still be read.
 const STALL_READ_WINDOW: Duration = Duration::from_millis(100);
-/// What lies before the origin, so that moments before the start can be told.
+/// Timestamp of the clock's start, above zero so that earlier moments can be represented.
 const ORIGIN_OFFSET: Duration = Duration::from_secs(3_600);
 
+/// The last tick, and the start and end of the latest stall.
 #[derive(Debug, Clone, Copy)]
 struct Ticks {
     last: Timestamp,
     stall: Option<(Timestamp, Timestamp)>,
 }
 
-/// Counts time from an hour before the moment at which it was made.
+/// A monotonic clock whose zero lies one hour before its creation. Clones share the recorded
+/// stalls.
 #[derive(Debug, Clone)]
 pub struct Clock {
     origin: Instant,
@@ -29,7 +31,7 @@
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts now.
     pub fn new() -> Self {
         let last = Timestamp::ZERO + ORIGIN_OFFSET;
         Clock {
@@ -38,30 +40,30 @@
         }
     }
 
-    /// The present time.
+    /// The current time.
     pub fn now(&self) -> Timestamp {
         Timestamp::ZERO + ORIGIN_OFFSET + self.origin.elapsed()
     }
 
-    /// When the clock was made.
+    /// The time at which the clock was created.
     pub fn started_at(&self) -> Timestamp {
         Timestamp::ZERO + ORIGIN_OFFSET
     }
 
-    /// How long the clock has run.
+    /// Time elapsed since the clock was created.
     pub fn runs_for(&self) -> Duration {
         self.origin.elapsed()
     }
 
-    /// The point of the runtime's clock that `moment` stands for.
+    /// Converts `moment` to an instant of the Tokio clock.
     pub fn instant(&self, moment: Timestamp) -> Instant {
         self.origin + moment.since(Timestamp::ZERO + ORIGIN_OFFSET)
     }
 
-    /// The earliest moment at which a message that is read now may have come.
+    /// The earliest time at which a message that is read now may have arrived.
     ///
-    /// A process that stood still, frozen or without its processor, finds messages that have
-    /// waited since.
+    /// After a stall, when the process was frozen or not scheduled, messages that arrived during
+    /// the stall are still queued; they count as having arrived when the stall began.
     pub fn earliest_arrival(&self) -> Timestamp {
         let now = self.now();
         let ticks = *self.ticks.lock().unwrap_or_else(PoisonError::into_inner);
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Notes that the process runs, again and again; never returns.
+    /// Records a tick every 100 ms and any stall between two ticks; never returns.
     pub async fn watch_for_stalls(self) {
         loop {
             tokio::time::sleep(TICK).await;
--- a/crates/spurpier-pipeline/src/context.rs
+++ b/crates/spurpier-pipeline/src/context.rs
@@ -1,4 +1,4 @@
-//! What all sessions and tasks of a node share.
+//! State shared by all sessions and tasks of a node.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -32,21 +32,21 @@
 use crate::server::{OpenPools, Server};
 use crate::settings::PipelineSettings;
 
-/// Attempts beyond the first: a lost server makes many statements try again at the same time, so
-/// the budget is ample and stops only a lasting failure.
+/// Budget for retries. Losing a server makes many statements retry at the same time, so the budget
+/// is generous and limits retries only in a lasting failure.
 pub const RETRY_BUDGET: RetryBudgetSettings = RetryBudgetSettings {
     percent: 30,
     per_second: 30,
     burst: 150,
 };
 
-/// Connections that a server is taken to allow before the configuration is known.
+/// Connection limit assumed for a server until the configuration is known.
 const DEFAULT_CONNECTION_LIMIT: usize = 8;
 
 /// The groups that this node is a home of.
 #[derive(Debug)]
 pub struct ServedGroups {
-    /// Their names, as the homes give them.
+    /// Group names as returned by [`Homes::served`]; compared by pointer to detect changes.
     names: Arc<[String]>,
     groups: Vec<Arc<Group>>,
 }
@@ -64,80 +64,81 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// What log lines name as the teller of the store's own answers.
+/// Source named in log lines for information that comes from the store itself.
 pub const STORE_SOURCE: &str = "store";
 
-/// What all sessions and tasks of a node share.
+/// State shared by all sessions and tasks of a node.
 pub struct Context {
     /// The node's settings.
     pub settings: PipelineSettings,
-    /// The steady clock.
+    /// The monotonic clock.
     pub clock: Clock,
-    /// What clients speak.
+    /// Wire protocol of clients.
     pub client_dialect: Arc<dyn ClientDialect>,
-    /// What servers speak.
+    /// Wire protocol of servers.
     pub server_dialect: Arc<dyn ServerDialect>,
-    /// The platform's store.
+    /// The platform's metadata store.
     pub store: Arc<dyn MetadataStore>,
-    /// Reads the store's rows.
+    /// Decodes the store's rows.
     pub entries: Arc<dyn EntryFormat>,
-    /// Names the server that takes over.
+    /// Promotes the server that takes over a group.
     pub promotions: Arc<dyn PromotionService>,
-    /// The configuration in force; none before the first is known.
+    /// The configuration in force; `None` until the first one is known.
     pub configuration: watch::Sender<Option<Arc<InForce>>>,
     /// All groups by name.
     pub groups: Mutex<BTreeMap<String, Arc<Group>>>,
-    /// The groups that this node stands in for or sees to, and some that it has just ceased to.
+    /// The groups whose homes this node stands in for, or whose primary it attends to, and some for
+    /// which it has just stopped doing so.
     pub visited: Mutex<BTreeMap<String, Arc<Group>>>,
-    /// The groups that this node is a home of, as last looked up.
+    /// Cached lookup of the groups that this node is a home of.
     pub served_groups: Mutex<ServedGroups>,
-    /// Groups of which a server's entry has gone; its servers are to be forgotten in time.
+    /// Groups with a server whose directory entry was removed; such servers are dropped later.
     pub groups_with_gone: Mutex<BTreeSet<String>>,
-    /// The pools that have connections to servers.
+    /// The pools with open connections to servers.
     pub open_pools: Arc<OpenPools>,
-    /// The other nodes, and which nodes are the homes of each group.
+    /// The other nodes, and the home nodes of each group.
     pub homes: Homes,
-    /// Where units may run.
+    /// Where units of work may run.
     pub places: Places,
-    /// Leave to start tenants' operations.
+    /// Permits to start operations of tenants.
     pub quotas: Quotas,
-    /// Leave to send to cold servers.
+    /// Permits to send messages to cold servers.
     pub cold: Arc<ColdServers>,
-    /// The connections to other nodes that take forwarded units.
+    /// Connections to other nodes that carry forwarded units.
     pub links: Links,
-    /// Whether the store left this node's last call without an answer.
+    /// Whether this node's last call to the store got no answer.
     pub store_lost: AtomicBool,
-    /// When the store last answered again after it had been away from this node.
+    /// When the store last became reachable again for this node.
     pub store_regained_at: Mutex<Option<Timestamp>>,
-    /// The store's latest era that is known.
+    /// The latest known era of the store.
     pub store_era: watch::Sender<StoreEra>,
-    /// Whether the servers have been read once.
+    /// Whether the server directory has been read at least once.
     pub directory_known: watch::Sender<bool>,
-    /// Whether this node took the promotion duty and has not seen another holder since.
+    /// Whether this node acquired the promotion lease and has not observed another holder since.
     pub holds_promotion_lease: AtomicBool,
-    /// Told when this node comes to want the lease of another group.
+    /// Notified when this node starts to need the leader lease of another group.
     pub lease_wanted: Notify,
-    /// Bounds attempts beyond the first.
+    /// Limits retries.
     pub retry_budget: Mutex<RetryBudget>,
-    /// The store's tables as last seen.
+    /// The latest known contents of the store's tables.
     pub known_tables: KnownTables,
-    /// Turns to tell another node much of a table, by the tables' numbers: what is told of one keeps
-    /// no other waiting.
+    /// Limits concurrent large table transfers to other nodes. One semaphore per table, by table
+    /// number, so that a transfer of one table does not delay those of another.
     pub news_turns: [Arc<Semaphore>; FOLLOWED.len()],
-    /// What is counted and told at the metrics endpoint.
+    /// Metrics served by the metrics endpoint.
     pub metrics: Metrics,
-    /// Bounds the log lines of single requests.
+    /// Limits log lines about individual requests.
     pub log_budget: LogBudget,
-    /// Work of other nodes that runs here.
+    /// Tracks units forwarded by other nodes that run on this one.
     pub forwarded: TaskTracker,
-    /// Cancelled when the drain begins.
+    /// Cancelled when the node starts to drain.
     pub draining: CancellationToken,
-    /// Cancelled when sessions take no further statement and open transactions are ended.
+    /// Cancelled when sessions stop accepting statements and open transactions are ended.
     pub closing: CancellationToken,
 }
 
 impl Context {
-    /// The group of this name, made if it is new.
+    /// Returns the group of this name, creating it if it is unknown.
     pub fn group(&self, name: &str) -> Arc<Group> {
         if let Some(group) = self.known_group(name) {
             return group;
@@ -147,12 +148,12 @@
             let group = groups.entry(name.to_owned());
             Arc::clone(group.or_insert_with(|| Arc::new(Group::new(name))))
         };
-        // From now on its homes are followed.
+        // Starts tracking the group's home nodes.
         self.homes_of(name);
         group
     }
 
-    /// The group of this name; none if nothing has told of it.
+    /// The group of this name; `None` if it is unknown.
     pub fn known_group(&self, name: &str) -> Option<Arc<Group>> {
         let groups = self.groups.lock().unwrap_or_else(PoisonError::into_inner);
         groups.get(name).map(Arc::clone)
@@ -164,13 +165,13 @@
         groups.values().map(Arc::clone).collect()
     }
 
-    /// The groups that this node looks after: those that it is a home of, stands in for or sees to.
+    /// The groups that this node is a home of, stands in for or attends to.
     ///
-    /// What is done at each tick goes over these: of 9,600 groups on 6,100 nodes a node is a home
-    /// of 19 (worked out).
+    /// Periodic work iterates over these only, not over all groups: with 9,600 groups on 6,100
+    /// nodes, a node is a home of 19.
     pub fn groups_in_use(&self) -> Vec<Arc<Group>> {
-        // Nothing may be decided before the list of nodes is known, and at a start of the whole fleet
-        // all nodes would look after all groups.
+        // Empty until the list of nodes is known: no decision is allowed before, and when the whole
+        // fleet starts, every node would otherwise handle all groups.
         let served = self.homes.served().unwrap_or_else(|| Arc::from([]));
         let mut groups = self.served_groups(served);
         let now = self.clock.now();
@@ -182,7 +183,7 @@
         groups
     }
 
-    /// The groups of these names, looked up only if the names are others than the last time.
+    /// The groups of these names, looked up again only if the names have changed.
     fn served_groups(&self, names: Arc<[String]>) -> Vec<Arc<Group>> {
         let mut known = locked(&self.served_groups);
         if !Arc::ptr_eq(&known.names, &names) {
@@ -193,7 +194,7 @@
         known.groups.clone()
     }
 
-    /// Takes in that this node stands in for a group's homes, or sees to its primary.
+    /// Records that this node stands in for a group's homes, or attends to its primary.
     pub fn record_visited(&self, group: &Arc<Group>) {
         let mut visited = locked(&self.visited);
         visited.insert(group.name.clone(), Arc::clone(group));
@@ -204,23 +205,24 @@
         self.configuration.borrow().clone()
     }
 
-    /// The homes of a group.
+    /// The home nodes of a group.
     pub fn homes_of(&self, group: &str) -> Arc<ChosenNodes> {
         self.homes.of(group, self.usable_connections(group))
     }
 
     /// The connections that all nodes together may open to each server of a group.
     ///
-    /// One in ten is left for nodes that have not taken in yet which nodes are homes.
+    /// One in ten connections is reserved for nodes that do not know the current homes yet.
     pub fn usable_connections(&self, group: &str) -> usize {
         let known = self.in_force().and_then(|known| known.connections(group));
         known.unwrap_or(DEFAULT_CONNECTION_LIMIT) * 9 / 10
     }
 
-    /// Whether this node holds the lease to use a group's primary.
+    /// Whether this node holds the leader lease, which allows it to use a group's primary.
     ///
-    /// What was told in a former life does not count: that one may have yielded to a succession that
-    /// this one does not know. A decision waits only for nodes whose entry names the group.
+    /// Reports from before the start of this incarnation do not count: the previous one may have
+    /// released its lease for a succession that this one does not know. A promotion decision
+    /// waits only for nodes whose entry names the group.
     pub fn holds_lease(&self, group: &Group) -> bool {
         let told_at = self.known_tables.told_at(Table::Cluster);
         let told_at = told_at.filter(|told_at| *told_at > self.clock.started_at());
@@ -229,8 +231,8 @@
             && self.homes.may_hold_lease(&group.name, version)
     }
 
-    /// The groups whose primary this node has a use for: those that it is a home of, stands in for
-    /// or is to see to, and all of them while it holds the promotion duty.
+    /// The groups whose leader lease this node needs: those that it is a home of, stands in for or
+    /// attends to, and all groups while it holds the promotion lease.
     pub fn wanted_leases(&self) -> LeaseScope {
         let groups = self.groups_in_use();
         LeaseScope {
@@ -239,13 +241,13 @@
         }
     }
 
-    /// Whether a server may be used as its group's lead, and what it answers be believed: no other
-    /// server can have taken the lead before this moment.
+    /// Whether a server may be used as its group's leader and its answers trusted: no other server
+    /// can have become the leader before now.
     pub fn may_lead(&self, group: &Group, server: &Server) -> bool {
         group.is_successor(&server.incarnation) && self.holds_lease(group)
     }
 
-    /// Takes in that a server takes over a group; tells whether that is new.
+    /// Records that a server takes over a group; returns whether that was unknown.
     pub fn record_succession(&self, group: &Group, succession: &Succession) -> bool {
         let is_new = group.record_succession(succession, self.clock.now());
         if is_new {
@@ -259,17 +261,17 @@
         is_new
     }
 
-    /// How far a zone is.
+    /// Network distance from this node to a zone.
     pub fn distance(&self, zone: &str) -> Distance {
         self.homes.distance(zone)
     }
 
-    /// Takes in that the store has answered.
+    /// Records that the store has answered.
     pub fn record_store_answer(&self) {
         self.store_lost.store(false, Ordering::Relaxed);
     }
 
-    /// Takes in the era in which the store was told of; false if a later one is known.
+    /// Records an era of the store reported by `told_by`; returns false if a later one is known.
     pub fn record_store_era(&self, era: StoreEra, told_by: &str) -> bool {
         let is_later = self.store_era.send_if_modified(|known| {
             let is_later = era > *known;
@@ -282,22 +284,23 @@
         era >= self.era()
     }
 
-    /// The store's latest era that is known.
+    /// The latest known era of the store.
     pub fn era(&self) -> StoreEra {
         *self.store_era.borrow()
     }
 
-    /// Takes in that the store has not answered.
+    /// Records that the store has not answered.
     pub fn record_store_failure(&self) {
         self.store_lost.store(true, Ordering::Relaxed);
     }
 
-    /// Whether this node reaches the store, as far as it has tried, and goes on running.
+    /// Whether this node may hold the promotion lease: it is not draining, and its last call to the
+    /// store was answered.
     pub fn can_hold_promotion_lease(&self) -> bool {
         !self.draining.is_cancelled() && !self.store_lost.load(Ordering::Relaxed)
     }
 
-    /// Takes in which node holds the promotion duty.
+    /// Records which node holds the promotion lease.
     pub fn record_promotion_lease_holder(&self, holder: &str) {
         let is_own = holder == self.settings.node.name;
         if self.holds_promotion_lease.swap(is_own, Ordering::Relaxed) != is_own {
@@ -305,14 +308,14 @@
         }
     }
 
-    /// Takes in a statement's first attempt, which earns a part of a further one.
+    /// Records the first attempt of a statement, which adds a fraction of a retry to the budget.
     pub fn record_first_attempt(&self) {
         let budget = &self.retry_budget;
         let mut budget = budget.lock().unwrap_or_else(PoisonError::into_inner);
         budget.record_attempt();
     }
 
-    /// Whether one more attempt may be made.
+    /// Whether a retry is allowed; takes it from the budget if so.
     pub fn may_retry(&self) -> bool {
         let now = self.clock.now();
         let budget = &self.retry_budget;
@@ -320,7 +323,7 @@
         budget.try_retry(now)
     }
 
-    /// For how long a leaving server may still be given work as its group's lead.
+    /// How long a leaving server may still receive work as its group's leader.
     pub fn leaving_use(&self) -> Duration {
         Duration::from_millis(self.settings.bounds.server_drain_ms) * 3 / 4
     }
--- a/crates/spurpier-pipeline/src/era.rs
+++ b/crates/spurpier-pipeline/src/era.rs
@@ -1,16 +1,17 @@
-//! Transactions that hold only within one era of the store.
+//! Store transactions whose conditions are valid only within one era of the store.
 
 use std::sync::Arc;
 
 use crate::context::{Context, STORE_SOURCE};
 use crate::ports::{StoreError, TransactOutcome, Transaction};
 
-/// Makes a transaction whose conditions were seen in one era of the store.
+/// Commits a transaction whose conditions were read in one era of the store.
 ///
 /// # Errors
 ///
-/// Those of the call; [`StoreError::EraChanged`] if it was made in another era, in which a condition
-/// may have held of other contents: what has become of it is not known.
+/// Those of the store call; [`StoreError::EraChanged`] if the transaction was committed in another
+/// era. The same version may name other contents there, so a condition may have matched by
+/// accident and the outcome is unknown.
 pub async fn transact_in_era(
     context: &Context,
     transaction: Transaction,
--- a/crates/spurpier-pipeline/src/group.rs
+++ b/crates/spurpier-pipeline/src/group.rs
@@ -1,4 +1,4 @@
-//! A group: its servers, which of them leads, and what is known of its log.
+//! A group: its servers, its leader, and the known positions of its log.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -19,9 +19,9 @@
 use crate::server::Server;
 use spurpier_events::log_event;
 
-/// For how long a node that reaches the lead is used in the place of this one.
+/// How long a node that reaches the leader is used as a relay.
 const RELAY_DURATION: Duration = Duration::from_millis(900);
-/// For how long a node that stood in for the homes looks after the group as they do.
+/// How long a node that ran units in place of the homes keeps handling the group as a home does.
 const STAND_IN_DURATION: Duration = Duration::from_secs(3);
 
 #[derive(Debug, Default)]
@@ -30,29 +30,29 @@
     leading: LeaderView,
     proving: bool,
     synchronous_replicas: usize,
-    /// The token of the newest succession that its deciding node has asked this one to yield to.
+    /// Token of the newest succession for which this node was asked to release its leader lease.
     asked_token: u64,
-    /// Whether this node's order of a successor is under way.
+    /// Whether a promotion sent by this node is in progress.
     ordering: bool,
-    /// A node that reaches the lead while this one does not, and until when it is used.
+    /// A node that reaches the leader while this one does not, and until when it is used.
     relay: Option<(PeerNode, Timestamp)>,
-    /// Until when this node, which is no home, stands in for homes that it cannot reach.
+    /// Until when this node, which is not a home, stands in for homes that it cannot reach.
     stands_in_until: Timestamp,
-    /// Whether this node is seeing to the group's primary.
+    /// Whether this node attends to the group's primary.
     attended: bool,
 }
 
-/// One group as this node knows it.
+/// This node's view of one group.
 #[derive(Debug)]
 pub struct Group {
-    /// Its name.
+    /// Name of the group.
     pub name: String,
     inner: Mutex<GroupInner>,
     changed: watch::Sender<u64>,
 }
 
 impl Group {
-    /// A group without servers.
+    /// Creates a group without servers.
     pub fn new(name: &str) -> Self {
         Group {
             name: name.to_owned(),
@@ -61,7 +61,7 @@
         }
     }
 
-    /// A receiver that is told of changes.
+    /// A receiver that is notified of every change of the group.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
@@ -70,12 +70,12 @@
         self.changed.send_modify(|version| *version += 1);
     }
 
-    /// All servers, also those that are leaving, in the order of their names.
+    /// All servers, including those that are leaving, ordered by name.
     pub fn servers(&self) -> Vec<Arc<Server>> {
         self.lock().servers.values().map(Arc::clone).collect()
     }
 
-    /// The server of this name.
+    /// The server of this incarnation, if it is known.
     pub fn server(&self, incarnation: &Incarnation) -> Option<Arc<Server>> {
         self.lock().servers.get(incarnation).map(Arc::clone)
     }
@@ -91,7 +91,7 @@
         self.notify();
     }
 
-    /// Forgets a server whose life is over, or that left long ago.
+    /// Removes a server whose incarnation has ended, or that left long ago, and retires its pool.
     pub fn remove(&self, incarnation: &Incarnation) {
         let removed = {
             let mut inner = self.lock();
@@ -104,7 +104,7 @@
         self.notify();
     }
 
-    /// Forgets all other lives of a server that are known.
+    /// Removes all other known incarnations of a server.
     pub fn remove_other_lives(&self, present: &Incarnation) {
         let others = self.lock().leading.other_incarnations_of(present);
         for other in &others {
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Takes in that a server's entry changed: it may be asked for the lead again.
+    /// Records that a server's entry changed: it may again be asked whether it leads.
     pub fn note_entry(&self, incarnation: &Incarnation, role: ServerRole) {
         let claims_lead = role == ServerRole::Primary;
         self.lock()
@@ -121,30 +121,31 @@
         self.notify();
     }
 
-    /// The replicas that must have received a commit before it is acknowledged.
+    /// Number of replicas that must have received a commit before it is acknowledged.
     pub fn synchronous_replicas(&self) -> usize {
         self.lock().synchronous_replicas
     }
 
-    /// Takes in how many replicas must have received a commit.
+    /// Sets the number of replicas that must have received a commit.
     pub fn set_synchronous_replicas(&self, count: usize) {
         self.lock().synchronous_replicas = count;
     }
 
-    /// The server that proved the lead last, unless it has lost it since.
+    /// The server that last proved to be the leader, unless it has lost the role since.
     pub fn lead(&self) -> Option<Arc<Server>> {
         let inner = self.lock();
         inner.servers.get(inner.leading.leader()?).map(Arc::clone)
     }
 
-    /// Whether this server was the last one that proved the lead to this node.
+    /// Whether this server was the last one that proved to this node to be the leader.
     pub fn led_last(&self, incarnation: &Incarnation) -> bool {
         self.lock().leading.was_last_leader(incarnation)
     }
 
-    /// The server to ask for the lead next; none while all have just refused.
+    /// The server to ask next whether it leads; `None` while all have recently refused.
     ///
-    /// [`choose_leader_candidate`] chooses among those that have not just refused. A server that leaves may lead for `leaving_use` at most.
+    /// [`choose_leader_candidate`] selects among those that have not recently refused. A leaving
+    /// server is a candidate for at most `leaving_use`.
     pub fn lead_candidate(&self, now: Timestamp, leaving_use: Duration) -> Option<Arc<Server>> {
         let inner = self.lock();
         let may_lead = |server: &&Arc<Server>| {
@@ -159,7 +160,7 @@
         choose_leader_candidate(&candidates).map(|index| Arc::clone(servers[index]))
     }
 
-    /// The newest succession; none if there was none.
+    /// The newest succession; `None` if there was none.
     pub fn succession(&self) -> Option<Succession> {
         self.lock().leading.succession().cloned()
     }
@@ -169,25 +170,25 @@
         self.lock().leading.token()
     }
 
-    /// Whether the newest succession, if there is one, names this server.
+    /// Whether there is no succession, or the newest one names this server.
     pub fn is_successor(&self, incarnation: &Incarnation) -> bool {
         self.lock().leading.is_successor(incarnation)
     }
 
-    /// Whether a server is another life of the one that the newest succession names: it is no
-    /// successor, and may hold all that its former life did.
+    /// Whether a server is another incarnation of the one that the newest succession names. It is
+    /// not the successor, but may hold everything that the earlier incarnation held.
     pub fn is_restarted_successor(&self, incarnation: &Incarnation) -> bool {
         self.lock().leading.is_restarted_successor(incarnation)
     }
 
-    /// Whether a server that holds a position lacks what it has shown as the lead.
+    /// Whether a server's position is behind the one that it reported as the leader.
     pub fn has_lost_log(&self, server: &Server, position: Position) -> bool {
         let inner = self.lock();
         inner.leading.has_lost_log(&server.incarnation, position)
     }
 
-    /// Takes in that a server takes over: from now on no other is used as the lead. Tells whether
-    /// that is new.
+    /// Records that a server takes over: from now on no other is used as the leader. Returns
+    /// whether the succession was unknown.
     pub fn record_succession(&self, succession: &Succession, now: Timestamp) -> bool {
         {
             let mut inner = self.lock();
@@ -202,35 +203,35 @@
         true
     }
 
-    /// Takes in that a deciding node has asked this one to yield.
+    /// Records that a deciding node has asked this one to release its leader lease.
     pub fn note_asked(&self, token: u64) {
         let mut inner = self.lock();
         inner.asked_token = inner.asked_token.max(token);
     }
 
-    /// The token of the newest succession that its deciding node has asked this one to yield to.
+    /// Token of the newest succession for which this node was asked to release its leader lease.
     pub fn asked_token(&self) -> u64 {
         self.lock().asked_token
     }
 
-    /// Whether this node's order of a successor is under way: until it has its answer, this node
-    /// must not yield to another decision.
+    /// Whether a promotion sent by this node is in progress. Until it is answered, this node must
+    /// not release its leader lease for another decision.
     pub fn is_ordering(&self) -> bool {
         self.lock().ordering
     }
 
-    /// Notes that an order is about to be sent, until the result is dropped.
+    /// Marks a promotion as in progress until the returned guard is dropped.
     pub fn start_ordering(&self) -> OrderUnderWay<'_> {
         self.lock().ordering = true;
         OrderUnderWay(self)
     }
 
-    /// Takes in that a server accepted a message which only the lead accepts; `now` is the moment
-    /// of its answer.
+    /// Records that a server accepted a message that only the leader accepts; `now` is the time of
+    /// its answer.
     ///
     /// # Errors
     ///
-    /// [`ProofError`] if that says nothing of the group's log.
+    /// [`ProofError`] if the answer proves nothing about the group's log.
     pub fn note_proof(
         &self,
         server: &Server,
@@ -257,30 +258,30 @@
         Ok(())
     }
 
-    /// Checks what a server that is taken for the lead has shown of its log.
+    /// Checks the log position reported by a server that is assumed to be the leader.
     ///
     /// # Errors
     ///
-    /// [`ProofError`] if it cannot be the lead that was known.
+    /// [`ProofError`] if it cannot be the known leader.
     pub fn check_shown(&self, server: &Server, shown: LeadershipProof) -> Result<(), ProofError> {
         self.lock()
             .leading
             .check_position(&server.incarnation, shown)
     }
 
-    /// Takes in a proof that another node has told of.
+    /// Records a leadership proof reported by another node.
     pub fn note_told_proof(&self, sent_at: Timestamp, position: Position) {
         let proof = LeadershipProof { sent_at, position };
         self.lock().leading.record_reported_proof(proof);
         self.notify();
     }
 
-    /// The newest proof that this node had itself.
+    /// The newest leadership proof that this node obtained itself.
     pub fn own_proof(&self) -> Option<LeadershipProof> {
         self.lock().leading.own_proof()
     }
 
-    /// Takes in the position that a server has shown.
+    /// Records the position that a server has reported.
     pub fn note_shown(&self, server: &Server, position: Position, now: Timestamp) {
         let lag = self.lock().leading.proofs().replication_lag(position, now);
         server.health().shown = Some(ObservedPosition {
@@ -290,7 +291,7 @@
         });
     }
 
-    /// Takes in that a server refused as one that does not lead.
+    /// Records that a server refused a message because it is not the leader.
     pub fn note_denial(&self, server: &Server, now: Timestamp) {
         let lost = self.lock().leading.record_refusal(&server.incarnation, now);
         if lost {
@@ -302,55 +303,55 @@
         }
     }
 
-    /// The position that a read must find; none while no proof is new enough.
+    /// The position that a read must reflect; `None` while no proof is recent enough.
     pub fn read_floor(&self, since: Timestamp, own: Option<SessionCommit>) -> Option<Position> {
         read_floor(self.lock().leading.proofs(), since, own)
     }
 
-    /// Notes a node that reaches the lead while this one does not.
+    /// Records a node that reaches the leader while this one does not.
     pub fn set_relay(&self, relay: PeerNode, now: Timestamp) {
         self.lock().relay = Some((relay, now + RELAY_DURATION));
     }
 
-    /// The node that reaches the lead while this one does not.
+    /// The node that reaches the leader while this one does not.
     pub fn relay(&self, now: Timestamp) -> Option<PeerNode> {
         let inner = self.lock();
         let (relay, until) = inner.relay.as_ref()?;
         (*until > now).then(|| relay.clone())
     }
 
-    /// Takes in that this node runs units in the place of homes that it cannot reach.
+    /// Records that this node runs units in place of homes that it cannot reach.
     pub fn stand_in(&self, now: Timestamp) {
         self.lock().stands_in_until = now + STAND_IN_DURATION;
     }
 
-    /// Whether this node has just run units in the place of homes that it cannot reach.
+    /// Whether this node recently ran units in place of homes that it cannot reach.
     pub fn stands_in(&self, now: Timestamp) -> bool {
         self.lock().stands_in_until > now
     }
 
-    /// Notes whether this node is seeing to the group's primary.
+    /// Sets whether this node attends to the group's primary.
     pub fn set_attended(&self, attended: bool) {
         self.lock().attended = attended;
     }
 
-    /// Whether this node is seeing to the group's primary.
+    /// Whether this node attends to the group's primary.
     pub fn is_attended(&self) -> bool {
         self.lock().attended
     }
 
-    /// When the message of the newest proof left.
+    /// When the message that led to the newest proof was sent.
     pub fn proven_at(&self) -> Option<Timestamp> {
         let newest = self.lock().leading.proofs().newest();
         newest.map(|proof| proof.sent_at)
     }
 
-    /// Whether a unit asks for a proof.
+    /// Whether a unit is requesting a leadership proof.
     pub fn is_proving(&self) -> bool {
         self.lock().proving
     }
 
-    /// Takes the turn to ask for a proof; none while another unit asks.
+    /// Acquires the right to request a leadership proof; `None` while another unit requests one.
     pub fn start_proving(&self) -> Option<Proving<'_>> {
         let mut inner = self.lock();
         if inner.proving {
@@ -376,7 +377,7 @@
     }
 }
 
-/// An order that is under way; it has its answer when this is dropped.
+/// Guard of a promotion in progress; dropped when the promotion is answered.
 pub struct OrderUnderWay<'a>(&'a Group);
 
 impl Drop for OrderUnderWay<'_> {
@@ -385,7 +386,7 @@
     }
 }
 
-/// The turn to ask for a proof; ends when dropped.
+/// Guard of the right to request a leadership proof; released on drop.
 pub struct Proving<'a>(&'a Group);
 
 impl Drop for Proving<'_> {
--- a/crates/spurpier-pipeline/src/lib.rs
+++ b/crates/spurpier-pipeline/src/lib.rs
@@ -1,10 +1,10 @@
-//! The path of a request over typed ports: sessions, units of work, servers, and who leads.
+//! The request path on top of typed ports: sessions, units of work, servers and group leaders.
 //!
-//! A client's statement goes through `session` (what is known of the client), `unit` (one
-//! statement or one transaction), `group` (which server leads, what a read must show) and
-//! `server` (connections and exchanges). `directory` and `configuration` follow the platform's
-//! store. Dialects, store and promotion service are met through `ports`; the decisions are
-//! `spurpier_core`'s.
+//! A client's statement passes through `session` (state of the client connection), `unit` (one
+//! statement or one transaction), `group` (the leader, and the position that a read must reflect)
+//! and `server` (connections and message exchanges). `directory` and `configuration` follow the
+//! platform's store. Dialects, store and promotion service are traits in `ports`; decisions are
+//! made by the pure functions of `spurpier_core`.
 
 pub mod clock;
 mod configuration;
--- a/crates/spurpier-pipeline/src/log_budget.rs
+++ b/crates/spurpier-pipeline/src/log_budget.rs
@@ -1,4 +1,4 @@
-//! A bound on the log lines of single requests, so that an overload does not drown in its own log.
+//! Rate limit for log lines about individual requests, so that an overload does not flood the log.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, PoisonError};
@@ -7,11 +7,12 @@
 use spurpier_core::time::Timestamp;
 use spurpier_events::Event;
 
-/// Lines of one event that may be written in one period.
+/// Maximum lines of one event that are written per [`PERIOD`].
 const MAX_LINES_PER_PERIOD: u32 = 50;
-/// The period.
+/// Length of the window in which lines are counted.
 const PERIOD: Duration = Duration::from_secs(1);
 
+/// Lines written in the current window, and lines suppressed since the last one written.
 #[derive(Debug, Clone, Copy)]
 struct EventUsage {
     since: Timestamp,
@@ -19,13 +20,13 @@
     suppressed: u32,
 }
 
-/// What each event has written in its present period.
+/// Line counts of each event, by event number.
 #[derive(Debug, Default)]
 pub struct LogBudget(Mutex<HashMap<u16, EventUsage>>);
 
 impl LogBudget {
-    /// Whether a line of the event may be written at `now`; tells how many lines were suppressed
-    /// since the last one that was written.
+    /// Returns `None` if a line of the event must not be written at `now`; otherwise the number of
+    /// lines suppressed since the last one that was written.
     pub fn take(&self, event: Event, now: Timestamp) -> Option<u32> {
         let mut events = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let usage = events.entry(event.number).or_insert(EventUsage {
--- a/crates/spurpier-pipeline/src/membership.rs
+++ b/crates/spurpier-pipeline/src/membership.rs
@@ -1,4 +1,4 @@
-//! Which nodes there are: each lists itself in the store while it runs.
+//! Cluster membership: each running node keeps an entry about itself in the store.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -22,29 +22,30 @@
 use crate::ports::{Condition, Row, Shard, Table, TransactOutcome, Transaction, Write};
 use crate::promotion::{report_release_by_store, restore_succession};
 
-/// How long one write of the own entry may take.
+/// Timeout for one write of the node's own entry.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
-/// The pause after a write that failed.
+/// Delay before a failed write is retried.
 const WRITE_RETRY_DELAY: Duration = Duration::from_millis(700);
-/// How often the entry of a node that leaves is tried to be written.
+/// Maximum attempts to write the entry of a leaving node.
 const MAX_LEAVING_WRITES: usize = 3;
-/// The pause between two of these.
+/// Delay between two such attempts.
 const LEAVING_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// How long a starting node waits to read who is listed before it lists itself: after a restart its
-/// entry still stands there.
+/// Maximum time that a starting node waits for the node list before it lists itself; after a
+/// restart, its old entry is still in the list.
 const LIST_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a starting node then waits for the groups, so that one write names those it serves.
+/// Maximum time that a starting node then waits for the groups, so that its first write already
+/// names those that it serves.
 const GROUPS_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a node waits to be told of its own write before it writes again. Longer than a node
-/// that follows another one waits for its news.
+/// Maximum time that a node waits to see its own write in the list before it writes again. Longer
+/// than a node that follows another one waits for updates.
 const OWN_WRITE_TIMEOUT: Duration = Duration::from_secs(3);
-/// How often the own entry is compared with what it should be, if nothing tells of a change.
+/// Interval at which the own entry is compared with the wanted one if no change is notified.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// For how long an entry may name groups of which the node uses the primary no more: the homes of
-/// a group often change back when a node has restarted, and each write is paid for.
+/// How long an entry keeps groups whose primary the node no longer uses: the homes of a group often
+/// change back after a node has restarted, and every write has a cost.
 const SURPLUS_RETENTION: Duration = Duration::from_secs(6);
 
-/// What stands before a group's name in the key of its succession's row.
+/// Prefix of the key of a succession's row; the group's name follows.
 const SUCCESSION_PREFIX: &str = "lead/";
 
 /// The key of the row with a group's newest succession.
@@ -52,7 +53,7 @@
     format!("{SUCCESSION_PREFIX}{group}")
 }
 
-/// Whether a row of the cluster's table is a node's entry.
+/// Whether a row of the cluster table is a node's entry.
 pub fn is_node_row(row: &Row) -> bool {
     !row.key.starts_with(SUCCESSION_PREFIX)
 }
@@ -85,7 +86,7 @@
             EntryState::Surplus => now - *surplus_since.get_or_insert(now) >= SURPLUS_RETENTION,
             EntryState::Lacking => true,
         };
-        // A former write that is carried out late would take back a group that is in use.
+        // An earlier write that takes effect late would remove a group that is in use.
         let may_lose = context.homes.may_lose(&entry.leases);
         if !is_due && !may_lose {
             await_change(&context, &mut changes).await;
@@ -99,12 +100,12 @@
     }
 }
 
-/// How a listed entry stands to the one that should be listed.
+/// How the listed entry differs from the wanted one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum EntryState {
-    /// It is the same.
+    /// Both are equal.
     Current,
-    /// It names more groups.
+    /// It names more groups than wanted.
     Surplus,
     /// It is missing, lacks a group, or differs otherwise.
     Lacking,
@@ -128,23 +129,23 @@
     }
 }
 
-/// Waits until the servers and the configuration have been read, for a while.
+/// Waits until the servers and the configuration have been read, up to [`GROUPS_TIMEOUT`].
 async fn await_groups(context: &Context) {
     let mut servers = context.directory_known.subscribe();
     let mut configuration = context.configuration.subscribe();
     let known = async {
-        // The senders live as long as the context.
+        // Cannot fail: the senders are dropped only with the context.
         let _ = servers.wait_for(|is_known| *is_known).await;
         let _ = configuration.wait_for(Option::is_some).await;
     };
-    // If the time passes, the node is listed without groups, and again with them.
+    // On timeout, the node is listed without groups first and with them later.
     let _ = timeout(GROUPS_TIMEOUT, known).await;
 }
 
-/// Waits for a change of this node's entry or wants, or for the next look.
+/// Waits until this node's entry or its wanted leases change, or the next check is due.
 async fn await_change(context: &Context, changes: &mut watch::Receiver<u64>) {
     tokio::select! {
-        // The sender lives as long as the context.
+        // Cannot fail: the sender is dropped only with the context.
         _ = changes.changed() => {}
         () = context.lease_wanted.notified() => {}
         () = tokio::time::sleep(CHECK_INTERVAL) => {}
@@ -152,7 +153,7 @@
     }
 }
 
-/// Waits until the list shows this node's entry of a version, for a while.
+/// Waits until the list shows this node's entry at `version`, up to [`OWN_WRITE_TIMEOUT`].
 async fn await_own_write(
     context: &Context,
     changes: &mut watch::Receiver<u64>,
@@ -169,12 +170,13 @@
             }
         }
     };
-    // If the time passes, the entry is compared and written anew.
+    // On timeout, the entry is compared and written again.
     let _ = timeout(OWN_WRITE_TIMEOUT, told).await;
 }
 
-/// Writes this node's entry, if it is listed as it is known to be: a write that is carried out
-/// late must not replace a newer one. The version of the new row, or none if it was not written.
+/// Writes this node's entry if the listed one still has the known version, since a write that takes
+/// effect late must not replace a newer one. Returns the version of the new row, or `None` if it
+/// is not known to be written.
 async fn write_own(
     context: &Context,
     listing: Option<&ListedNode>,
@@ -197,8 +199,8 @@
     try_write(context, vec![condition], write, &context.settings.node.name).await
 }
 
-/// Tells that this node is about to end, if the store answers: others give it no more work, and
-/// still ask it before a primary that it may use is replaced.
+/// Lists this node as leaving, if the store answers: other nodes give it no more work, but still
+/// ask it before they replace a primary that it may use.
 pub async fn list_leaving(context: &Context) {
     for _ in 0..MAX_LEAVING_WRITES {
         let listing = context.homes.own_listing();
@@ -214,7 +216,7 @@
     }
 }
 
-/// Takes this node off the list, if the store answers.
+/// Removes this node from the list, if the store answers.
 pub async fn unlist_self(context: &Context) {
     let key = context.settings.node.name.clone();
     let table = Table::Cluster;
@@ -222,7 +224,7 @@
     try_write(context, Vec::new(), write, &context.settings.node.name).await;
 }
 
-/// The version of the write; none if it was not made or the store does not tell.
+/// Returns the version of the write; `None` if it conflicted, failed or timed out.
 async fn try_write(
     context: &Context,
     conditions: Vec<Condition>,
@@ -241,10 +243,11 @@
     }
 }
 
-/// Takes nodes off the list that this node could not reach for long; never returns.
+/// Removes nodes from the list that this node could not reach for a long time; never returns.
 ///
-/// A node that is only cut off from this one lists itself again as soon as it sees that it is not
-/// listed. The row must be the one that was known: a node that has started again stays listed.
+/// A node that is only partitioned from this one lists itself again once it finds itself missing
+/// from the list. The removal requires the known version of the row, so that a restarted node stays
+/// listed.
 pub async fn unlist_lost(context: Arc<Context>, mut lost: LostNodes) {
     while let Some(address) = lost.recv().await {
         let Some((key, version)) = context.homes.listed_at(address) else {
@@ -262,7 +265,7 @@
     }
 }
 
-/// Keeps the nodes as the store lists them, and takes in the groups' successions.
+/// Applies the rows of the cluster table: listed nodes and successions of groups.
 pub struct ClusterSink(pub Arc<Context>);
 
 fn listed(row: &Row) -> Option<ListedNode> {
@@ -315,8 +318,8 @@
 }
 
 impl ClusterSink {
-    /// Has the successions stored again that the store has lost, where this node is a home: nodes that
-    /// start from now on must learn of them.
+    /// Restores successions that the store has lost, for the groups in use on this node, so that
+    /// nodes that start later learn of them.
     fn restore_lost(&self, told: &[&Row], version: StoreVersion) {
         let told: BTreeMap<&str, &Row> = told.iter().map(|row| (row.key.as_str(), *row)).collect();
         for group in self.0.groups_in_use() {
--- a/crates/spurpier-pipeline/src/metrics.rs
+++ b/crates/spurpier-pipeline/src/metrics.rs
@@ -1,6 +1,6 @@
-//! A gateway's metrics, in the text form of Prometheus, at `/metrics` of the readiness address.
+//! A gateway's metrics in the Prometheus text format, at `/metrics` of the readiness address.
 //!
-//! Counters are kept as things happen; gauges are set from the present state when they are read.
+//! Counters are updated as events occur; gauges are set from the current state on each scrape.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -19,18 +19,18 @@
 use crate::ports::{Answer, ErrorClass, Table};
 use crate::server::Server;
 
-/// The first bound of the histogram of answer times, in seconds.
+/// Smallest bucket bound of the latency histogram, in seconds.
 const FIRST_BUCKET: f64 = 0.001;
-/// How many bounds it has, each twice the one before: up to 4 s.
+/// Number of bucket bounds, each twice the previous one: up to 4 s.
 const BUCKETS: u16 = 13;
 
-/// One label: what a counter counts.
+/// The only label of a counter: what it counts.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct Kind {
     kind: &'static str,
 }
 
-/// What a gauge of a server's connections tells.
+/// Labels of the gauge of a server's connections.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct ConnectionLabels {
     group: String,
@@ -48,7 +48,7 @@
     table: String,
 }
 
-/// How a statement ended for its client.
+/// Outcome of a statement for its client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Ended {
     Done,
@@ -192,18 +192,18 @@
         registry.register("table_age_ms", text, self.table_ages.clone());
     }
 
-    /// Tells the version of a configuration that was refused for its faults.
+    /// Sets the version of a configuration that was rejected because of errors.
     pub fn note_refused_configuration(&self, version: u64) {
         let version = i64::try_from(version).unwrap_or(i64::MAX);
         self.refused_configuration.set(version);
     }
 
-    /// Tells how often the configuration in force names regions that no zone has.
+    /// Sets how often the configuration in force names regions that no zone has.
     pub fn note_unknown_regions(&self, count: usize) {
         self.unknown_regions.set(as_gauge(count));
     }
 
-    /// Tells how many rows of the directory name no server to use, by reason.
+    /// Sets the number of directory rows that describe no usable server, by reason.
     pub fn set_unusable_entries(&self, counts: &BTreeMap<&'static str, usize>) {
         self.unusable_entries.clear();
         for (kind, count) in counts {
@@ -224,22 +224,22 @@
         self.refusals.get_or_create(&Kind { kind: reason }).inc();
     }
 
-    /// Counts an attempt beyond the first.
+    /// Counts a retry.
     pub fn count_retry(&self, why: &'static str) {
         self.retries.get_or_create(&Kind { kind: why }).inc();
     }
 
-    /// Counts a unit's call that is made to another node.
+    /// Counts a call for a unit that is sent to another node.
     pub fn count_call_made(&self) {
         self.calls.get_or_create(&Kind { kind: "made" }).inc();
     }
 
-    /// Counts a unit's call that is taken from another node.
+    /// Counts a call for a unit that is received from another node.
     pub fn count_call_taken(&self) {
         self.calls.get_or_create(&Kind { kind: "taken" }).inc();
     }
 
-    /// Counts a question for leave to start operations.
+    /// Counts a request for permits to start operations.
     pub fn count_leave_question(&self) {
         self.leave_questions.inc();
     }
@@ -250,12 +250,12 @@
         self.store_calls.get_or_create(&Kind { kind }).inc();
     }
 
-    /// Counts a question to another node for a table that was of no use.
+    /// Counts a request to another node for a table that gave no usable update.
     pub fn count_missed_news(&self, why: &'static str) {
         self.missed_news.get_or_create(&Kind { kind: why }).inc();
     }
 
-    /// Counts rows of a table that were passed over.
+    /// Counts rows of a table that were skipped.
     pub fn count_outdated_rows(&self, table: Table, rows: usize) {
         let labels = TableLabels {
             table: format!("{table:?}"),
@@ -269,7 +269,7 @@
     pub fn text(&self, context: &Context) -> String {
         self.set_gauges(context);
         let mut text = String::new();
-        // Writing to a text does not fail.
+        // Writing to a `String` cannot fail.
         let _ = encode(&mut text, &self.registry);
         text
     }
@@ -283,7 +283,7 @@
         let evacuated = context.places.evacuations.zones().len();
         self.evacuated_zones.set(as_gauge(evacuated));
         self.set_table_ages(context);
-        // Servers and groups that are gone are not told any more.
+        // Removed servers and groups are no longer reported.
         self.connections.clear();
         self.proof_ages.clear();
         self.homes.clear();
@@ -361,7 +361,7 @@
     }
 }
 
-/// Whole milliseconds; -1 if the time is not known.
+/// Whole milliseconds; -1 if the time is unknown.
 fn millis_or_unknown(time: Option<Duration>) -> i64 {
     time.map_or(-1, |time| {
         i64::try_from(time.as_millis()).unwrap_or(i64::MAX)
--- a/crates/spurpier-pipeline/src/node.rs
+++ b/crates/spurpier-pipeline/src/node.rs
@@ -1,4 +1,4 @@
-//! A node: the parts of the pipeline, started together and stopped together.
+//! A node: starts all parts of the pipeline and drains them at shutdown.
 
 use std::fmt;
 use std::io;
@@ -41,18 +41,19 @@
 use crate::session::serve_client;
 use crate::settings::{ListenSettings, PipelineSettings};
 
-/// How long the listener rests after a failed accept, as when descriptors have run out.
+/// Delay after a failed accept, for example when file descriptors have run out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// For how long a draining node still takes clients that the load balancer sends it.
+/// Maximum time for which a draining node still accepts clients from the load balancer.
 const MAX_DRAIN_ACCEPT: Duration = Duration::from_millis(2_600);
 
-/// How many other nodes are told much of a table at the same time. 1,400 routes are 69 KB for each,
-/// so that three take 0.17 s of a link of 10 Mbit/s, and nobody takes this node as silent.
+/// Maximum concurrent large transfers of one table to other nodes. 1,400 routes take 69 KB each
+/// time, so three transfers take 0.17 s of a link of 10 Mbit/s and no node considers this one
+/// silent.
 const MAX_LARGE_TRANSFERS: usize = 3;
-/// Groups that other nodes want seen to and that were not looked at yet.
+/// Capacity of the queue of groups that other nodes have asked this one to attend to.
 const WANTED_CAPACITY: usize = 64;
 
-/// Why a node could not start.
+/// Errors that prevent a node from starting.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NodeError {
     /// An address could not be bound.
@@ -79,8 +80,8 @@
 }
 
 impl Listeners {
-    /// Binds the addresses of the settings, and puts the ports that the system chose in the place
-    /// of zeros.
+    /// Binds the addresses of the settings, and replaces each port 0 in them by the port that the
+    /// system assigned.
     ///
     /// # Errors
     ///
@@ -109,25 +110,25 @@
     bound.change_context(NodeError::Bind(wanted))
 }
 
-/// What a node is made of.
+/// The settings, sockets and port implementations from which a node is built.
 pub struct NodeParts {
     /// The settings.
     pub settings: PipelineSettings,
     /// The sockets, bound to the settings' addresses.
     pub listeners: Listeners,
-    /// What clients speak.
+    /// Wire protocol of clients.
     pub client_dialect: Arc<dyn ClientDialect>,
-    /// What servers speak.
+    /// Wire protocol of servers.
     pub server_dialect: Arc<dyn ServerDialect>,
-    /// The platform's store.
+    /// The platform's metadata store.
     pub store: Arc<dyn MetadataStore>,
-    /// Reads the store's rows.
+    /// Decodes the store's rows.
     pub entries: Arc<dyn EntryFormat>,
-    /// Names the server that takes over.
+    /// Promotes the server that takes over a group.
     pub promotions: Arc<dyn PromotionService>,
 }
 
-/// Tells a node to stop.
+/// Cancelled to stop a node.
 pub type Stop = CancellationToken;
 
 /// Runs nodes.
@@ -143,7 +144,7 @@
         start_promotion(&context, listeners.internal);
         tokio::spawn(unlist_lost(Arc::clone(&context), lost));
         tokio::spawn(forward::serve(Arc::clone(&context), listeners.forwarded));
-        // Nodes that start ask the seeds at their control addresses.
+        // Starting nodes send their requests to the seeds' control addresses.
         tokio::spawn(forward::serve(Arc::clone(&context), listeners.control));
         log_event!(
             events::NODE_STARTED,
@@ -165,7 +166,7 @@
     bound.change_context(NodeError::Bind(address))
 }
 
-/// Binds the internal address twice: for datagrams, and for forwarded units under the same port.
+/// Binds the internal address twice on the same port: UDP for datagrams, TCP for forwarded units.
 async fn bind_internal(address: SocketAddr) -> Result<(UdpSocket, TcpListener), Report<NodeError>> {
     let listener = bind(address).await?;
     let port = local(listener.local_addr(), address)?;
@@ -249,7 +250,7 @@
     tokio::spawn(watch_groups(Arc::clone(context), peers, wanted));
 }
 
-/// Takes clients; never returns.
+/// Accepts clients; never returns.
 async fn accept(context: &Arc<Context>, listener: &TcpListener, sessions: &TaskTracker) {
     loop {
         match listener.accept().await {
@@ -261,21 +262,22 @@
     }
 }
 
-/// Is not ready, takes clients until the load balancer has seen it, and lets sessions end.
+/// Drains the node: it stops being ready, accepts clients until the load balancer has noticed, and
+/// lets sessions end.
 ///
-/// In the first half of the grace, quiet sessions are closed and the others go on. At the half,
-/// no further statement is taken and open transactions are ended; what runs then has most of the
-/// second half to be answered.
+/// In the first half of the grace period, idle sessions are closed and the others continue. At the
+/// half, no further statement is accepted and open transactions are ended; running statements have
+/// most of the second half to complete.
 async fn drain(context: &Arc<Context>, listener: TcpListener, sessions: &TaskTracker) {
     log_event!(events::NODE_DRAINING, sessions = sessions.len());
     context.draining.cancel();
-    // Other nodes take it out of the homes, and go on being served until they have.
+    // Other nodes remove this one from the homes, and are served until they have done so.
     let leaving = Arc::clone(context);
     tokio::spawn(async move { list_leaving(&leaving).await });
     let started = Instant::now();
     let grace = Duration::from_millis(context.settings.bounds.grace_ms);
     let accept_on = MAX_DRAIN_ACCEPT.min(grace * 2 / 5);
-    // It ends by the time alone.
+    // `accept` never returns, so this always ends by the timeout.
     let _ = timeout(accept_on, accept(context, &listener, sessions)).await;
     drop(listener);
     sessions.close();
@@ -287,10 +289,10 @@
     let half = timeout_at(started + grace / 2, work_ends()).await;
     if half.is_err() {
         context.closing.cancel();
-        // Work that is still open then is cut by the end of the process.
+        // Work that is still running after this is cut off when the process exits.
         let _ = timeout_at(started + grace * 9 / 10, work_ends()).await;
     }
-    // From here on it uses no lead any more.
+    // From here on, this node uses no leader any more.
     unlist_self(context).await;
     log_event!(events::NODE_DRAINED, cut = sessions.len());
 }
--- a/crates/spurpier-pipeline/src/node_entry.rs
+++ b/crates/spurpier-pipeline/src/node_entry.rs
@@ -1,4 +1,4 @@
-//! What a node tells of itself in the store.
+//! The entry that a node publishes about itself in the store.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -13,60 +13,60 @@
 
 use crate::settings::PipelineSettings;
 
-/// The least weight that a node can have: every node can be a home.
+/// Lower bound of a node's weight; above zero so that every node can become a home.
 const LEAST_WEIGHT: f64 = 0.01;
 
-/// What a node tells of itself in the store.
+/// The entry that a node publishes about itself in the store.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NodeEntry {
-    /// Where other nodes reach it: datagrams and forwarded units.
+    /// Address at which other nodes reach it, for datagrams and forwarded units.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: String,
-    /// How much it can do beside the others.
+    /// Capacity relative to other nodes.
     pub weight: f64,
-    /// How much its link takes, in megabits a second.
+    /// Bandwidth of its network link, in megabits per second.
     pub link_mbps: f64,
-    /// Whether it is about to end: it is given no work, but may still do what it has.
+    /// Whether it is shutting down: it receives no new work, but may finish what it has.
     pub leaving: bool,
-    /// The groups whose primary it may use under a lease; a decision on a group's primary asks
-    /// the nodes whose entries have the group here, and no others.
+    /// The groups whose primary it may use under a leader lease. A promotion of a group asks only
+    /// the nodes whose entries contain the group here.
     pub leases: LeaseScope,
 }
 
-/// The groups whose primary a node may use under a lease.
+/// The groups whose primary a node may use under a leader lease.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct LeaseScope {
-    /// Those that are named.
+    /// The groups listed by name.
     pub groups: BTreeSet<String>,
-    /// Whether all others are meant too, as for the holder of the promotion duty: naming them would
-    /// take a row of 12 bytes a group, and the store takes rows of 64 KB at most.
+    /// Whether all other groups are included too, as for the holder of the promotion lease. Listing
+    /// them would take 12 bytes per group, and the store limits rows to 64 KB.
     pub is_all: bool,
 }
 
 impl LeaseScope {
-    /// Whether a group is meant.
+    /// Whether the scope includes a group.
     pub fn contains(&self, group: &str) -> bool {
         self.is_all || self.groups.contains(group)
     }
 
-    /// Whether all groups of another scope are meant.
+    /// Whether the scope includes all groups of another scope.
     pub fn covers(&self, other: &LeaseScope) -> bool {
         self.is_all || (!other.is_all && other.groups.is_subset(&self.groups))
     }
 }
 
-/// An entry as the store lists it.
+/// An entry as listed by the store.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ListedNode {
     /// The entry.
     pub entry: NodeEntry,
-    /// The version of its row.
+    /// Version of the entry's row.
     pub version: StoreVersion,
 }
 
 impl NodeEntry {
-    /// What the node with these settings tells of itself.
+    /// The entry of the node with these settings.
     pub fn own(settings: &PipelineSettings) -> Self {
         NodeEntry {
             address: settings.listen.internal,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The node as it is ranked under the digest of its name.
+    /// The node's key, the digest of its name, and weight for ranking.
     pub fn ranked(&self, key: NodeKey) -> RankedNode {
         RankedNode {
             key,
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Whether two entries of a node differ at most in the groups whose primary it may use: ranks
-    /// do not hang on these.
+    /// Whether two entries of a node differ at most in the groups whose primary it may use, which
+    /// do not affect its rank.
     pub fn is_ranked_as(&self, other: &NodeEntry) -> bool {
         self.address == other.address
             && self.zone == other.zone
@@ -124,7 +124,7 @@
                     .into_iter()
                     .map(|name| name.0)
                     .collect(),
-                // Entries of nodes that always name all their groups end before.
+                // Absent in entries of nodes that always list all their groups.
                 is_all: *offset < bytes.len() && bool::de_bin(offset, bytes)?,
             },
         })
--- a/crates/spurpier-pipeline/src/progress.rs
+++ b/crates/spurpier-pipeline/src/progress.rs
@@ -1,9 +1,9 @@
-//! How an answer gets on whose bytes come little by little.
+//! Timeouts for responses that arrive in pieces, extended while bytes keep arriving.
 //!
-//! A limit in time that counts from the question gives up a large answer on a narrow link while it
-//! is coming. Asking again then sends the same bytes once more over the same link, so that the link
-//! carries ever more of what nobody awaits: 35 of 71 nodes were seen to receive over 10 MB each in
-//! 20 s of a table of half a megabyte, and to learn nothing (counted at the machines' links).
+//! A fixed timeout that starts with the request abandons a large response on a slow link while it
+//! is still arriving. Each retry sends the same bytes again over that link, which fills up with
+//! abandoned responses: with a table of half a megabyte, 35 of 71 nodes each received over 10 MB
+//! in 20 s without completing a single transfer.
 
 use std::future::Future;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,12 +12,11 @@
 
 use tokio::time::{Instant, sleep_until};
 
-/// After so long without a byte an answer that has begun counts as stalled: as long as a node may
-/// be silent before it is passed over.
+/// Time without a new byte after which a started response counts as stalled. Equal to the time that
+/// a node may be silent before it is skipped.
 pub const STALLED_AFTER: Duration = Duration::from_millis(400);
-/// How long an answer may go on coming after the time in which it should have come. The largest
-/// message of the store, 1 MiB in base64, takes 1.1 s on a link of 10 Mbit/s; four at once take
-/// 4.5 s.
+/// Maximum extension of a response's timeout while its bytes keep arriving. The store's largest
+/// message, 1 MiB in base64, takes 1.1 s on a link of 10 Mbit/s; four at once take 4.5 s.
 pub const TRANSFER_LIMIT: Duration = Duration::from_secs(5);
 
 #[derive(Debug, Default)]
@@ -32,37 +31,37 @@
     }
 }
 
-/// What has come of answers that are not whole yet; clones share it.
+/// Counts the bytes received of incomplete responses; clones share the count.
 #[derive(Debug, Clone, Default)]
 pub struct Progress(Arc<Received>);
 
 impl Progress {
-    /// Nothing has come.
+    /// Creates a progress without any received bytes.
     pub fn new() -> Self {
         Progress::default()
     }
 
-    /// Takes in that so many bytes have come now.
+    /// Records that `bytes` more bytes have just arrived.
     pub fn note(&self, bytes: usize) {
         let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
         self.0.bytes.fetch_add(bytes, Ordering::Relaxed);
         *self.0.last_at() = Some(Instant::now());
     }
 
-    /// How many bytes have come.
+    /// Number of bytes received so far.
     pub fn bytes(&self) -> u64 {
         self.0.bytes.load(Ordering::Relaxed)
     }
 
-    /// Until when an answer counts as coming; none if nothing has come.
+    /// The time at which the response counts as stalled; `None` if no byte has arrived.
     fn progressing_until(&self) -> Option<Instant> {
         let last_at = *self.0.last_at();
         last_at.map(|last_at| last_at + STALLED_AFTER)
     }
 }
 
-/// Awaits an answer until `end`, and longer for as long as bytes of it come, at most for
-/// [`TRANSFER_LIMIT`]; none if it has not come then.
+/// Awaits `answer` until `end`, extended by up to [`TRANSFER_LIMIT`] while bytes keep arriving;
+/// `None` on timeout.
 pub async fn while_moving<T>(
     answer: impl Future<Output = T>,
     progress: &Progress,
--- a/crates/spurpier-pipeline/src/readiness.rs
+++ b/crates/spurpier-pipeline/src/readiness.rs
@@ -1,5 +1,4 @@
-//! The readiness endpoint: tells a load balancer whether this node takes new clients, and gives the
-//! node's metrics.
+//! HTTP endpoint that serves the readiness check for load balancers and the node's metrics.
 
 use std::sync::Arc;
 
@@ -12,19 +11,20 @@
 use crate::context::Context;
 
 impl Context {
-    /// Whether this node takes new clients.
+    /// Whether this node accepts new clients: it is not draining, and it knows the configuration
+    /// and the servers.
     pub fn is_ready(&self) -> bool {
         !self.draining.is_cancelled() && self.in_force().is_some() && *self.directory_known.borrow()
     }
 }
 
-/// The path of the metrics.
+/// Path of the metrics endpoint.
 const METRICS_PATH: &str = "/metrics";
-/// The form of the metrics' text.
+/// Content type of the metrics: OpenMetrics text.
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Answers `/metrics` with the metrics and every other path with 200 or 503, for as long as the
-/// node runs.
+/// Serves `/metrics` with the metrics and every other path with the readiness: 200 if the node
+/// accepts new clients, else 503. Runs until the node stops.
 pub async fn serve(context: Arc<Context>, listener: TcpListener) {
     let counted = Arc::clone(&context);
     let answer = move || {
@@ -47,6 +47,6 @@
     let router = Router::new()
         .route(METRICS_PATH, get(metrics))
         .fallback(answer);
-    // An endpoint that fails is seen by the load balancer, which asks in vain.
+    // No error handling: if the endpoint fails, the load balancer's health checks fail too.
     let _ = axum::serve(listener, router).await;
 }
--- a/crates/spurpier-pipeline/src/server_rows.rs
+++ b/crates/spurpier-pipeline/src/server_rows.rs
@@ -1,5 +1,5 @@
-//! Rows of servers as nodes tell them to each other: read once from the platform's form, by the nodes
-//! that follow the store, and a fifth of its size.
+//! Compact encoding of server rows that nodes exchange with each other. The nodes that read from
+//! the store convert each row once from the platform's format, to a fifth of its size.
 
 use std::time::Duration;
 
@@ -10,12 +10,12 @@
 
 use crate::ports::{EntryField, EntryFormat, Row, ServerEntry, ServerRole, UnusableEntry};
 
-/// What the first byte of a row says.
+// Flags in the first byte of a row.
 const DRAINING: u8 = 1;
 const PRIMARY: u8 = 2;
 const UNUSABLE: u8 = 4;
 
-/// A row of the platform as nodes tell it; a row that is gone tells nothing.
+/// Converts a row of the platform to the compact encoding; a removed row is returned unchanged.
 pub fn told_form(entries: &dyn EntryFormat, row: Row) -> Row {
     if row.gone {
         return row;
@@ -56,11 +56,11 @@
     cold_ms.ser_bin(output);
 }
 
-/// Reads a server's row as nodes tell it.
+/// Decodes a server's row in the compact encoding.
 ///
 /// # Errors
 ///
-/// [`UnusableEntry`] if it names no server to use.
+/// [`UnusableEntry`] if the row describes no usable server.
 pub fn read(row: &Row) -> Result<ServerEntry, UnusableEntry> {
     match decode(row) {
         Ok(read) => read,
@@ -96,7 +96,7 @@
     }))
 }
 
-/// The numbers of the reasons that name no field.
+/// Reasons that name no field; a reason's index is its encoded number.
 const REASONS: [UnusableEntry; 4] = [
     UnusableEntry::Unreadable,
     UnusableEntry::UnknownState,
--- a/crates/spurpier-pipeline/src/settings.rs
+++ b/crates/spurpier-pipeline/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a node before groups that are promoted from outside.
+//! Settings of a node in front of groups that an external service promotes.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,46 +6,47 @@
 
 use serde::Deserialize;
 
-/// All settings.
+/// All settings of a node.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct PipelineSettings {
-    /// The node.
+    /// Identity and capacity of the node.
     pub node: NodeSettings,
-    /// Where it listens.
+    /// Addresses on which it listens.
     pub listen: ListenSettings,
-    /// Control addresses of other nodes, asked if the store is down at the start.
+    /// Control addresses of other nodes, used if the store is down at startup.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
     /// The region of each zone.
     #[serde(default)]
     pub zones: BTreeMap<String, String>,
-    /// Where the platform is.
+    /// Addresses of the platform's services.
     pub platform: PlatformSettings,
-    /// What the platform promises and asks for.
+    /// Guarantees and requirements of the platform.
     #[serde(default)]
     pub bounds: BoundSettings,
-    /// What may be lost at once.
+    /// Simultaneous losses to tolerate.
     #[serde(default)]
     pub tolerance: ToleranceSettings,
 }
 
-/// The node.
+/// Identity and capacity of a node.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct NodeSettings {
-    /// Its name, unique among living nodes.
+    /// Its name, unique among running nodes.
     pub name: String,
     /// Its zone.
     pub zone: String,
     /// Its region.
     pub region: String,
-    /// How much it can do beside the other nodes: a node of twice the weight is home of twice as
-    /// many groups.
+    /// Capacity relative to the other nodes: a node of twice the weight is a home of twice as many
+    /// groups.
     #[serde(default = "default_weight")]
     pub weight: f64,
-    /// How much its link takes, in megabits a second.
+    /// Bandwidth of its network link, in megabits per second.
     #[serde(default = "default_link_mbps")]
     pub link_mbps: f64,
-    /// Whether the whole system starts for the first time, so that no node is listed yet.
+    /// Whether the whole system starts for the first time, so that no node is listed yet and
+    /// none is waited for.
     #[serde(default)]
     pub first_start: bool,
 }
@@ -58,20 +59,20 @@
     1_000.0
 }
 
-/// Where a node listens.
+/// Addresses on which a node listens.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct ListenSettings {
-    /// Clients.
+    /// Client connections.
     pub client: SocketAddr,
     /// The readiness endpoint.
     pub ready: SocketAddr,
     /// Messages of other nodes over UDP, and the units that they forward over TCP.
     pub internal: SocketAddr,
-    /// Questions of nodes that start while the store is down, over TCP.
+    /// Requests of nodes that start while the store is down, over TCP.
     pub control: SocketAddr,
 }
 
-/// Where the platform is.
+/// Addresses of the platform's services.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct PlatformSettings {
     /// Its metadata store.
@@ -80,51 +81,53 @@
     pub promotion: SocketAddr,
 }
 
-/// What the platform promises and asks for.
+/// Guarantees and requirements of the platform.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct BoundSettings {
-    /// How long a server that leaves may still be given work, in milliseconds.
+    /// How long a leaving server may still receive work, in milliseconds.
     pub server_drain_ms: u64,
-    /// How long a node may take to end after SIGTERM, in milliseconds.
+    /// Maximum time for a node to exit after SIGTERM, in milliseconds.
     pub grace_ms: u64,
-    /// Within what a new configuration must be in force everywhere, in milliseconds.
+    /// Maximum time until a new configuration is in force on all nodes, in milliseconds.
     pub configuration_apply_ms: u64,
-    /// The length of the spans in which a tenant's operations are judged, in seconds.
+    /// Length of the windows in which a tenant's operations are compared with its limit, in
+    /// seconds.
     pub quota_window_s: f64,
-    /// The part by which a tenant's operations may exceed its limit in such a span.
+    /// Fraction by which a tenant's operations may exceed its limit in such a window.
     pub quota_overage: f64,
-    /// Operations by which they may exceed it besides.
+    /// Operations by which they may exceed it in addition.
     pub quota_slack: f64,
-    /// Within what nothing more may arrive at the servers of an evacuated zone, in milliseconds; 0
-    /// if no such bound was agreed.
+    /// Maximum time after which nothing may arrive at the servers of an evacuated zone any more, in
+    /// milliseconds; 0 if no such bound is agreed.
     pub evacuation_ms: u64,
-    /// The factor by which requests at a cold server may exceed its rate within a second.
+    /// Factor by which requests at a cold server may exceed its rate within a second.
     pub cold_overage: f64,
-    /// Requests by which they may exceed it besides.
+    /// Requests by which they may exceed it in addition.
     pub cold_slack: f64,
 }
 
-/// What may be lost at once with everything still kept.
+/// What may be lost at the same time while all guarantees still hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(default)]
 pub struct ToleranceSettings {
-    /// Whole zones.
+    /// Number of whole zones.
     pub zones: u32,
-    /// Whole regions.
+    /// Number of whole regions.
     pub regions: u32,
 }
 
-/// The bound of an evacuation where none was agreed.
+/// Evacuation bound that applies if none is agreed.
 const DEFAULT_EVACUATION_BOUND: Duration = Duration::from_secs(5);
 
 impl BoundSettings {
-    /// Within what nothing more may arrive at the servers of an evacuated zone, if that was agreed.
+    /// Maximum time after which nothing may arrive at the servers of an evacuated zone any more;
+    /// `None` if no bound is agreed.
     pub fn agreed_evacuation_bound(&self) -> Option<Duration> {
         (self.evacuation_ms > 0).then(|| Duration::from_millis(self.evacuation_ms))
     }
 
-    /// As [`Self::agreed_evacuation_bound`], and what is kept to all the same where none was.
+    /// As [`Self::agreed_evacuation_bound`], with a default of 5 s if none is agreed.
     pub fn evacuation_bound(&self) -> Duration {
         let agreed = self.agreed_evacuation_bound();
         agreed.unwrap_or(DEFAULT_EVACUATION_BOUND)
@@ -148,11 +151,11 @@
 }
 
 impl PipelineSettings {
-    /// Reads the settings of a TOML text; keys that are not known are passed over.
+    /// Parses settings from TOML; unknown keys are ignored.
     ///
     /// # Errors
     ///
-    /// The first fault of the text, with its place.
+    /// The first error in the text, with its position.
     pub fn parse(text: &str) -> Result<Self, toml::de::Error> {
         toml::from_str(text)
     }
--- a/crates/spurpier-pipeline/tests/log_budget.rs
+++ b/crates/spurpier-pipeline/tests/log_budget.rs
@@ -1,4 +1,4 @@
-//! The bound on the log lines of single requests.
+//! Limits on the log lines written for individual requests.
 
 use spurpier_core::time::Timestamp;
 use spurpier_pipeline::events;
