--- a/crates/spurpier-pipeline/src/configuration/check.rs
+++ b/crates/spurpier-pipeline/src/configuration/check.rs
@@ -11,9 +11,9 @@
     /// It has no name.
     NoName,
     /// Its name holds a blank, which the wire to servers cannot carry.
-    BlankInName,
+    WhitespaceInName,
     /// Another tenant has its name.
-    SameName,
+    DuplicateName,
     /// The key at this place belongs to another tenant too.
     SharedKey(usize),
     /// Its rate or its burst is negative or no number.
@@ -34,10 +34,10 @@
         write!(formatter, "tenants[{}]: ", self.tenant)?;
         match self.fault {
             TenantFault::NoName => formatter.write_str("has no name"),
-            TenantFault::BlankInName => formatter.write_str("has a blank in its name"),
-            TenantFault::SameName => formatter.write_str("has the name of another one"),
-            TenantFault::SharedKey(place) => {
-                write!(formatter, "key {place} belongs to another one too")
+            TenantFault::WhitespaceInName => formatter.write_str("has a blank in its name"),
+            TenantFault::DuplicateName => formatter.write_str("has the name of another one"),
+            TenantFault::SharedKey(index) => {
+                write!(formatter, "key {index} belongs to another one too")
             }
             TenantFault::NegativeQuota => formatter.write_str("has a negative rate or burst"),
         }
@@ -52,12 +52,12 @@
     for (index, tenant) in configuration.tenants.iter().flatten().enumerate() {
         let mut faults = name_faults(tenant);
         if !names.insert(tenant.name.as_str()) {
-            faults.push(TenantFault::SameName);
+            faults.push(TenantFault::DuplicateName);
         }
         let own: HashSet<_> = tenant.keys.iter().collect();
         let shared = tenant.keys.iter().enumerate();
         let shared = shared.filter(|(_, key)| keys.contains(*key));
-        faults.extend(shared.map(|(place, _)| TenantFault::SharedKey(place)));
+        faults.extend(shared.map(|(index, _)| TenantFault::SharedKey(index)));
         keys.extend(own);
         if tenant.quota.is_some_and(is_negative) {
             faults.push(TenantFault::NegativeQuota);
@@ -75,7 +75,7 @@
     if tenant.name.is_empty() {
         vec![TenantFault::NoName]
     } else if tenant.name.contains(char::is_whitespace) {
-        vec![TenantFault::BlankInName]
+        vec![TenantFault::WhitespaceInName]
     } else {
         Vec::new()
     }
--- a/crates/spurpier-pipeline/src/configuration/mod.rs
+++ b/crates/spurpier-pipeline/src/configuration/mod.rs
@@ -23,11 +23,11 @@
 use crate::tenant::{AdmissionError, Caller};
 
 /// How many findings one log line names; thousands of routes may name the same region.
-const MOST_TOLD: usize = 20;
+const MAX_LOGGED_FINDINGS: usize = 20;
 
 /// How a client's statements are served.
 #[derive(Debug, Clone)]
-pub struct Admitted {
+pub struct AdmittedClient {
     /// The route of its database.
     pub route: Arc<Route>,
     /// Whom its statements are run for.
@@ -38,25 +38,25 @@
 
 /// What holds for a tenant.
 #[derive(Debug)]
-struct KnownTenant {
+struct TenantAccess {
     name: Arc<str>,
     allowed_regions: AllowedRegions,
 }
 
 /// A configuration, indexed.
 #[derive(Debug)]
-pub struct InForce {
+pub struct IndexedConfiguration {
     /// The configuration.
     pub configuration: Configuration,
     routes: HashMap<String, Arc<Route>>,
     groups: HashMap<String, GroupSettings>,
     /// The holders of keys; none if clients are not told apart.
-    holders: Option<HashMap<KeyDigest, Arc<KnownTenant>>>,
+    holders: Option<HashMap<KeyDigest, Arc<TenantAccess>>>,
     /// How much tenants may ask for, by their names.
     quotas: HashMap<String, Quota>,
 }
 
-impl InForce {
+impl IndexedConfiguration {
     /// Indexes a configuration; of two routes for one database, the first one holds.
     pub fn new(configuration: Configuration) -> Self {
         let mut routes = HashMap::new();
@@ -70,7 +70,7 @@
         let quotas = tenants.filter_map(|tenant| Some((tenant.name.clone(), tenant.quota?)));
         let quotas = quotas.collect();
         let holders = configuration.tenants.as_deref().map(key_holders);
-        InForce {
+        IndexedConfiguration {
             groups: groups.collect(),
             holders,
             quotas,
@@ -93,12 +93,12 @@
         &self,
         database: &str,
         key: Option<KeyDigest>,
-    ) -> Result<Admitted, AdmissionError> {
+    ) -> Result<AdmittedClient, AdmissionError> {
         let route = self
             .route(database)
             .ok_or(AdmissionError::UnknownDatabase)?;
         let Some(holders) = self.holders.as_ref().filter(|_| !route.is_public) else {
-            return Ok(Admitted {
+            return Ok(AdmittedClient {
                 allowed_regions: route.allowed_regions.clone(),
                 caller: Caller::unnamed(key),
                 route,
@@ -107,7 +107,7 @@
         let holder = key.and_then(|key| holders.get(&key));
         let holder = holder.ok_or(AdmissionError::UnknownKey)?;
         let tenant = Some(Arc::clone(&holder.name));
-        Ok(Admitted {
+        Ok(AdmittedClient {
             allowed_regions: route.allowed_regions.intersection(&holder.allowed_regions),
             caller: Caller { tenant, key },
             route,
@@ -148,10 +148,10 @@
     }
 }
 
-fn key_holders(tenants: &[Tenant]) -> HashMap<KeyDigest, Arc<KnownTenant>> {
+fn key_holders(tenants: &[Tenant]) -> HashMap<KeyDigest, Arc<TenantAccess>> {
     let mut holders = HashMap::new();
     for tenant in tenants {
-        let holder = Arc::new(KnownTenant {
+        let holder = Arc::new(TenantAccess {
             name: Arc::from(tenant.name.as_str()),
             allowed_regions: tenant.allowed_regions.clone(),
         });
@@ -166,7 +166,7 @@
 
 impl ConfigurationSink {
     /// Takes in what is known; evacuations first, so that a node which becomes ready knows them.
-    fn put_known_into_force(&self) {
+    fn apply_known(&self) {
         let known = &self.0.known_tables;
         let rows = known.rows(Table::Configuration);
         let (evacuated, rows) = rows
@@ -177,7 +177,7 @@
             known.version(Table::Configuration),
             known.told_before(Table::Configuration),
         );
-        self.look_again_at_held();
+        self.schedule_hold_expiry();
         if rows.is_empty() {
             return;
         }
@@ -194,25 +194,25 @@
 impl ConfigurationSink {
     /// Has zones taken back whose rows the store has lost, if the operator has not written them again
     /// in time.
-    fn look_again_at_held(&self) {
+    fn schedule_hold_expiry(&self) {
         let Some(held_until) = self.0.places.evacuations.held_until() else {
             return;
         };
         let context = Arc::clone(&self.0);
         tokio::spawn(async move {
             tokio::time::sleep_until(context.clock.instant(held_until)).await;
-            ConfigurationSink(context).put_known_into_force();
+            ConfigurationSink(context).apply_known();
         });
     }
 }
 
 impl RowSink for ConfigurationSink {
     fn replace(&mut self, _rows: &[Row], _version: StoreVersion) {
-        self.put_known_into_force();
+        self.apply_known();
     }
 
     fn change(&mut self, _rows: &[Row]) {
-        self.put_known_into_force();
+        self.apply_known();
     }
 
     fn derives_rows(&self) -> bool {
@@ -221,12 +221,12 @@
 
     /// The operator writes the newest configuration again after the store's return; until then the
     /// store, and nodes that start meanwhile, tell an older one.
-    fn newest(&self, told: Vec<Row>) -> Vec<Row> {
+    fn newest(&self, reported: Vec<Row>) -> Vec<Row> {
         let known = self.0.known_tables.rows(Table::Configuration);
-        if rows::document_version(&told) >= rows::document_version(&known) {
-            return told;
+        if rows::document_version(&reported) >= rows::document_version(&known) {
+            return reported;
         }
-        let evacuated = told.into_iter().filter(rows::is_evacuated);
+        let evacuated = reported.into_iter().filter(rows::is_evacuated);
         let settings = known.into_iter().filter(|row| !rows::is_evacuated(row));
         let mut newest: Vec<Row> = evacuated.chain(settings).collect();
         newest.sort_by(|one, other| one.key.cmp(&other.key));
@@ -234,8 +234,8 @@
     }
 
     /// The store's row of the configuration tells all of it; evacuations are told one by one.
-    fn whole_table(&self, told: &[Row], is_whole: bool) -> Option<Vec<Row>> {
-        if told.is_empty() && !is_whole {
+    fn peer_table(&self, stored: &[Row], is_whole: bool) -> Option<Vec<Row>> {
+        if stored.is_empty() && !is_whole {
             return None;
         }
         let known = self.0.known_tables.rows(Table::Configuration);
@@ -244,8 +244,8 @@
             .partition::<Vec<Row>, _>(rows::is_evacuated);
         let entries = &self.0.entries;
         let zone_of = |row: &Row| entries.evacuated_zone(row);
-        let mut rows = rows::evacuated_rows(told, is_whole, &evacuated, zone_of);
-        rows.extend(self.configuration_rows(told, known));
+        let mut rows = rows::evacuated_rows(stored, is_whole, &evacuated, zone_of);
+        rows.extend(self.configuration_rows(stored, known));
         rows.sort_by(|one, other| one.key.cmp(&other.key));
         Some(rows)
     }
@@ -254,8 +254,8 @@
 impl ConfigurationSink {
     /// The rows of the configuration after the store has told of its rows; one that cannot be read
     /// or has faults tells nothing new.
-    fn configuration_rows(&self, told: &[Row], known: Vec<Row>) -> Vec<Row> {
-        let Some((configuration, version)) = self.told_configuration(told) else {
+    fn configuration_rows(&self, stored: &[Row], known: Vec<Row>) -> Vec<Row> {
+        let Some((configuration, version)) = self.stored_configuration(stored) else {
             return known;
         };
         let findings = check::check_tenants(&configuration);
@@ -271,9 +271,9 @@
 
     /// The configuration among rows that the store has told, and its row's version; rows of other
     /// kinds may stand beside it.
-    fn told_configuration(&self, told: &[Row]) -> Option<(Configuration, StoreVersion)> {
+    fn stored_configuration(&self, stored: &[Row]) -> Option<(Configuration, StoreVersion)> {
         let entries = &self.0.entries;
-        let others = told
+        let others = stored
             .iter()
             .rev()
             .filter(|row| !row.gone && entries.evacuated_zone(row).is_none());
@@ -301,7 +301,10 @@
     if unknown.is_empty() {
         return;
     }
-    let named = unknown.iter().take(MOST_TOLD).map(ToString::to_string);
+    let named = unknown
+        .iter()
+        .take(MAX_LOGGED_FINDINGS)
+        .map(ToString::to_string);
     let named: Vec<String> = named.collect();
     log_event!(
         events::REGIONS_UNKNOWN,
@@ -325,7 +328,7 @@
             .set_synchronous_replicas(replicas);
     }
     let unknown = unknown_regions(&configuration, &context.places.known_regions());
-    let newer = Arc::new(InForce::new(configuration));
+    let newer = Arc::new(IndexedConfiguration::new(configuration));
     let changed = context.configuration.send_if_modified(|current| {
         let known = current.as_ref().map(|known| known.configuration.version);
         if known.is_some_and(|known| known >= version) {
--- a/crates/spurpier-pipeline/src/configuration/regions.rs
+++ b/crates/spurpier-pipeline/src/configuration/regions.rs
@@ -13,7 +13,7 @@
 
 /// What names a region.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NamedBy {
+pub enum ReferencedBy {
     /// The route at this place in the list, from 0.
     Route(usize),
     /// The tenant at this place in the list, from 0.
@@ -24,16 +24,16 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnknownRegion {
     /// What names it.
-    pub named_by: NamedBy,
+    pub referenced_by: ReferencedBy,
     /// Its name.
     pub region: String,
 }
 
 impl fmt::Display for UnknownRegion {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self.named_by {
-            NamedBy::Route(place) => write!(formatter, "routes[{place}]: ")?,
-            NamedBy::Tenant(place) => write!(formatter, "tenants[{place}]: ")?,
+        match self.referenced_by {
+            ReferencedBy::Route(index) => write!(formatter, "routes[{index}]: ")?,
+            ReferencedBy::Tenant(index) => write!(formatter, "tenants[{index}]: ")?,
         }
         write!(formatter, "no zone is in region {}", self.region)
     }
@@ -46,24 +46,25 @@
     known: &BTreeSet<&str>,
 ) -> Vec<UnknownRegion> {
     let routes = configuration.routes.iter().enumerate();
-    let routes = routes.map(|(place, route)| (NamedBy::Route(place), &route.allowed_regions));
+    let routes = routes.map(|(index, route)| (ReferencedBy::Route(index), &route.allowed_regions));
     let tenants = configuration.tenants.iter().flatten().enumerate();
-    let tenants = tenants.map(|(place, tenant)| (NamedBy::Tenant(place), &tenant.allowed_regions));
+    let tenants =
+        tenants.map(|(index, tenant)| (ReferencedBy::Tenant(index), &tenant.allowed_regions));
     let named = routes.chain(tenants);
     named
-        .flat_map(|(named_by, allowed)| unknown_of(named_by, allowed, known))
+        .flat_map(|(referenced_by, allowed)| unknown_names(referenced_by, allowed, known))
         .collect()
 }
 
-fn unknown_of(
-    named_by: NamedBy,
+fn unknown_names(
+    referenced_by: ReferencedBy,
     allowed: &AllowedRegions,
     known: &BTreeSet<&str>,
 ) -> Vec<UnknownRegion> {
     let names = allowed.names().into_iter().flatten();
     let unknown = names.filter(|name| !known.contains(name.as_str()));
     let found = unknown.map(|name| UnknownRegion {
-        named_by,
+        referenced_by,
         region: name.clone(),
     });
     found.collect()
--- a/crates/spurpier-pipeline/src/configuration/rows.rs
+++ b/crates/spurpier-pipeline/src/configuration/rows.rs
@@ -13,7 +13,7 @@
 use spurpier_core::store_version::StoreVersion;
 use spurpier_core::wire::{List, LongText};
 
-use crate::follow::note_news;
+use crate::follow::assign_row_versions;
 use crate::forward::{WireFreshness, duration, millis};
 use crate::ports::{Configuration, GroupSettings, KeyDigest, Quota, Route, Row, Tenant};
 
@@ -73,7 +73,7 @@
     // Stable, so that the first of two routes for one database stays the first.
     rows.sort_by(|one, other| one.key.cmp(&other.key));
     rows.dedup_by(|later, first| later.key == first.key);
-    note_news(&mut rows, known, version);
+    assign_row_versions(&mut rows, known, version);
     rows
 }
 
@@ -166,14 +166,14 @@
 /// else of those that have changed. `known` are those from before; `zone_of` reads the zone of a row
 /// of the store.
 pub fn evacuated_rows(
-    told: &[Row],
+    stored: &[Row],
     is_whole: bool,
     known: &[Row],
     zone_of: impl Fn(&Row) -> Option<String>,
 ) -> Vec<Row> {
     let kept = known.iter().filter(|_| !is_whole).cloned();
     let mut rows: BTreeMap<String, Row> = kept.map(|row| (row.key.clone(), row)).collect();
-    for row in told {
+    for row in stored {
         let Some(zone) = zone_of(row) else {
             continue;
         };
--- a/crates/spurpier-pipeline/src/context.rs
+++ b/crates/spurpier-pipeline/src/context.rs
@@ -15,7 +15,7 @@
 use tokio_util::task::TaskTracker;
 
 use crate::clock::Clock;
-use crate::configuration::InForce;
+use crate::configuration::IndexedConfiguration;
 use crate::events;
 use crate::forward::Links;
 use crate::group::Group;
@@ -84,7 +84,7 @@
     /// Names the server that takes over.
     pub promotions: Arc<dyn PromotionService>,
     /// The configuration in force; none before the first is known.
-    pub configuration: watch::Sender<Option<Arc<InForce>>>,
+    pub configuration: watch::Sender<Option<Arc<IndexedConfiguration>>>,
     /// All groups by name.
     pub groups: Mutex<BTreeMap<String, Arc<Group>>>,
     /// The groups that this node stands in for or sees to, and some that it has just ceased to.
@@ -200,7 +200,7 @@
     }
 
     /// The configuration in force.
-    pub fn in_force(&self) -> Option<Arc<InForce>> {
+    pub fn in_force(&self) -> Option<Arc<IndexedConfiguration>> {
         self.configuration.borrow().clone()
     }
 
--- a/crates/spurpier-pipeline/src/directory/mod.rs
+++ b/crates/spurpier-pipeline/src/directory/mod.rs
@@ -408,7 +408,7 @@
 pub struct ServerSink(pub Arc<Directory>);
 
 impl RowSink for ServerSink {
-    fn told_form(&self, rows: Vec<Row>) -> Vec<Row> {
+    fn peer_rows(&self, rows: Vec<Row>) -> Vec<Row> {
         let entries = &self.0.context.entries;
         let told = rows.into_iter();
         told.map(|row| server_rows::told_form(entries.as_ref(), row))
--- a/crates/spurpier-pipeline/src/follow/mod.rs
+++ b/crates/spurpier-pipeline/src/follow/mod.rs
@@ -5,9 +5,9 @@
 //! what it tells is as fresh as the store's own news would be. A watcher that the store does not
 //! answer follows another one, and a node that no watcher serves follows the store.
 
-mod patience;
 mod peer;
 mod store_clock;
+mod timeouts;
 
 use std::collections::HashMap;
 use std::sync::{Arc, PoisonError};
@@ -28,30 +28,30 @@
 use crate::ports::{ReadRows, Row, StoreError, Table};
 use crate::progress::{Progress, while_moving};
 
-use self::patience::{CHANGES_SLACK, Patience};
 use self::store_clock::StoreClock;
+use self::timeouts::{CHANGES_SLACK, FollowTimeouts};
 
 /// How long a whole read may take until its answer begins to come.
-const READ_LIMIT: Duration = Duration::from_millis(1_000);
+const READ_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// The pauses after failed calls.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(50);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(800);
 /// For how long a node that told nothing of use is passed over.
-const PASS_OVER: Duration = Duration::from_secs(3);
+const PEER_EXCLUSION: Duration = Duration::from_secs(3);
 /// How often a watcher that follows another one asks the store again.
-const STORE_AGAIN: Duration = Duration::from_secs(2);
+const STORE_RETRY_DELAY: Duration = Duration::from_secs(2);
 /// The pause after a change of the nodes, so that nodes which start together are told at once, and
 /// after a change of any table that follows another one within twice this time: a call to the store
 /// tells of all changes since the last one, however many there are.
-const CHANGES_PAUSE: Duration = Duration::from_millis(250);
+const CHANGES_BATCH_DELAY: Duration = Duration::from_millis(250);
 /// How long the nodes wait for each other to be listed at the first start of the whole system: the
 /// store takes 200 writes a second, and 295 nodes write one each.
-const FLEET_LISTED: Duration = Duration::from_millis(2_000);
+const FLEET_REGISTRATION_TIME: Duration = Duration::from_millis(2_000);
 /// How long a starting node waits for the list of nodes before it reads the other tables itself.
-const LIST_LIMIT: Duration = Duration::from_millis(800);
-/// As [`LIST_LIMIT`], at the first start of the whole system: a seed reads the list, then the watchers,
+const NODE_LIST_TIMEOUT: Duration = Duration::from_millis(800);
+/// As [`NODE_LIST_TIMEOUT`], at the first start of the whole system: a seed reads the list, then the watchers,
 /// then all others.
-const FLEET_LIST_LIMIT: Duration = Duration::from_millis(2_500);
+const FLEET_NODE_LIST_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// What is done with the rows of a table.
 pub trait RowSink: Send {
@@ -62,21 +62,21 @@
     fn change(&mut self, rows: &[Row]);
 
     /// The store's rows as nodes tell them to each other: with the same keys and versions.
-    fn told_form(&self, rows: Vec<Row>) -> Vec<Row> {
+    fn peer_rows(&self, rows: Vec<Row>) -> Vec<Row> {
         rows
     }
 
-    /// All rows under which nodes tell each other of the table, after the store has `told` of its
+    /// All rows under which nodes tell each other of the table, after the store has `reported` of its
     /// rows: of all of them if `is_whole`, else of those that have changed. None if nothing has, or if
     /// the store's rows are those of the nodes.
-    fn whole_table(&self, _told: &[Row], _is_whole: bool) -> Option<Vec<Row>> {
+    fn peer_table(&self, _stored: &[Row], _is_whole: bool) -> Option<Vec<Row>> {
         None
     }
 
     /// The rows to go on with, after all of them were told: those, unless the store came back from a
     /// copy that is older than what is known.
-    fn newest(&self, told: Vec<Row>) -> Vec<Row> {
-        told
+    fn newest(&self, reported: Vec<Row>) -> Vec<Row> {
+        reported
     }
 
     /// Whether the rows that nodes tell each other are not the store's own, so that two nodes may
@@ -94,23 +94,23 @@
 pub async fn follow(context: Arc<Context>, table: Table, sink: impl RowSink) {
     let first_start = context.settings.node.first_start;
     let mut follower = Follower {
-        patience: Patience::of(table, &context.settings.bounds),
+        timeouts: FollowTimeouts::of(table, &context.settings.bounds),
         context,
         table,
         sink,
-        backoff: Backoff::new(FIRST_PAUSE, LONGEST_PAUSE),
-        lost: false,
-        store_again_at: Timestamp::ZERO,
+        backoff: Backoff::new(INITIAL_RETRY_DELAY, MAX_RETRY_DELAY),
+        is_store_lost: false,
+        store_retry_at: Timestamp::ZERO,
         version: None,
         knows_rows: false,
-        told_at: Timestamp::ZERO,
+        reported_at: Timestamp::ZERO,
         store_clock: StoreClock::default(),
-        passed_over: HashMap::new(),
+        excluded_peers: HashMap::new(),
         changed_at: None,
         is_new: true,
-        is_told_from_start: table == Table::Cluster && first_start,
+        reads_changes_from_start: table == Table::Cluster && first_start,
     };
-    follower.await_others().await;
+    follower.wait_for_node_list().await;
     loop {
         follower.step().await;
     }
@@ -118,7 +118,7 @@
 
 /// Gives the rows of a whole table that are news the version from which on they are; the others
 /// keep that from which on they are known. `known` is in the order of its keys.
-pub fn note_news(rows: &mut [Row], known: &[Row], version: StoreVersion) {
+pub fn assign_row_versions(rows: &mut [Row], known: &[Row], version: StoreVersion) {
     for row in rows {
         let same = known.binary_search_by(|known| known.key.cmp(&row.key));
         let same = same.ok().map(|index| &known[index]);
@@ -129,9 +129,9 @@
 
 /// What became of another node's news.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum TakenNews {
+enum UpdateOutcome {
     /// They are known now.
-    Taken,
+    Applied,
     /// That node knows less than this one.
     Behind,
     /// With them this node would know another table than that one: all of it must be asked for.
@@ -141,43 +141,43 @@
 struct Follower<S> {
     context: Arc<Context>,
     table: Table,
-    patience: Patience,
+    timeouts: FollowTimeouts,
     sink: S,
     backoff: Backoff,
     /// Whether the store left the last call without an answer.
-    lost: bool,
-    store_again_at: Timestamp,
+    is_store_lost: bool,
+    store_retry_at: Timestamp,
     /// The store's version up to which all changes are known; none if all must be read anew.
     version: Option<StoreVersion>,
     /// Whether the table was ever read, or told by another node.
     knows_rows: bool,
     /// When the store last told of the table, to this node or to the one that it follows.
-    told_at: Timestamp,
+    reported_at: Timestamp,
     store_clock: StoreClock,
-    passed_over: HashMap<String, Timestamp>,
+    excluded_peers: HashMap<String, Timestamp>,
     /// When the store last told of changes.
     changed_at: Option<Timestamp>,
     /// Whether nothing has been asked for yet.
     is_new: bool,
     /// Whether the store may remember all changes of the table since the whole system has started:
     /// one call then tells of all shards.
-    is_told_from_start: bool,
+    reads_changes_from_start: bool,
 }
 
 impl<S: RowSink> Follower<S> {
     /// Before the first call: a starting node reads from the store which nodes there are, and asks
     /// these for the rest.
-    async fn await_others(&self) {
+    async fn wait_for_node_list(&self) {
         let first_start = self.context.settings.node.first_start;
-        let (listed_in, limit) = if first_start {
-            (FLEET_LISTED, FLEET_LIST_LIMIT)
+        let (registration_time, limit) = if first_start {
+            (FLEET_REGISTRATION_TIME, FLEET_NODE_LIST_TIMEOUT)
         } else {
-            (Duration::ZERO, LIST_LIMIT)
+            (Duration::ZERO, NODE_LIST_TIMEOUT)
         };
         if self.table == Table::Cluster {
-            tokio::time::sleep(listed_in).await;
+            tokio::time::sleep(registration_time).await;
         } else {
-            let limit = Instant::now() + listed_in + limit;
+            let limit = Instant::now() + registration_time + limit;
             self.context.homes.await_list(limit).await;
         }
     }
@@ -187,18 +187,18 @@
         let is_new = std::mem::take(&mut self.is_new);
         let mut peers = self.peers();
         if is_new && self.table == Table::Cluster {
-            peers = self.watchers_at_start().await;
+            peers = self.initial_watchers().await;
         }
         for peer in peers {
             if self.ask_peer(&peer).await {
                 return;
             }
-            let until = self.context.clock.now() + PASS_OVER;
-            self.passed_over.insert(peer.name, until);
+            let until = self.context.clock.now() + PEER_EXCLUSION;
+            self.excluded_peers.insert(peer.name, until);
         }
         match self.version {
             Some(version) => self.ask_changes(version).await,
-            None if self.is_told_from_start => self.ask_changes(StoreVersion::NONE).await,
+            None if self.reads_changes_from_start => self.ask_changes(StoreVersion::NONE).await,
             None => self.read().await,
         }
     }
@@ -214,71 +214,76 @@
         let is_back = self
             .version
             .is_some_and(|version| version.era() < self.context.era());
-        let may_ask = !self.lost || is_back || now >= self.store_again_at;
+        let may_ask = !self.is_store_lost || is_back || now >= self.store_retry_at;
         let follows_store = watchers.is_own && may_ask;
         if follows_store {
             return Vec::new();
         }
-        self.passed_over.retain(|_, until| *until > now);
+        self.excluded_peers.retain(|_, until| *until > now);
         let others = watchers.others.iter();
         others
-            .filter(|peer| !self.passed_over.contains_key(&peer.name))
+            .filter(|peer| !self.excluded_peers.contains_key(&peer.name))
             .cloned()
             .collect()
     }
 
     /// Takes in what another node tells, unless it knows less than this node. That holds also while
     /// this node reads the table anew: rows that it knows to be gone would come back for good.
-    fn take_news(&mut self, news: News, told_at: Timestamp, told_by: &str) -> TakenNews {
+    fn apply_updates(
+        &mut self,
+        updates: News,
+        reported_at: Timestamp,
+        source: &str,
+    ) -> UpdateOutcome {
         let known = &self.context.known_tables;
-        let is_present = self.context.note_store_era(news.version.era(), told_by);
-        if !is_present || news.version < known.version(self.table) {
-            return TakenNews::Behind;
+        let is_present = self.context.note_store_era(updates.version.era(), source);
+        if !is_present || updates.version < known.version(self.table) {
+            return UpdateOutcome::Behind;
         }
-        let mut rows: Vec<Row> = news.rows.0.into_iter().map(|row| row.0).collect();
-        if news.whole {
+        let mut rows: Vec<Row> = updates.rows.0.into_iter().map(|row| row.0).collect();
+        if updates.whole {
             if self.sink.derives_rows() {
-                note_news(&mut rows, &known.rows(self.table), news.version);
+                assign_row_versions(&mut rows, &known.rows(self.table), updates.version);
             }
-            self.take_all(rows, news.version, told_at, told_by);
-            return TakenNews::Taken;
+            self.replace_all(rows, updates.version, reported_at, source);
+            return UpdateOutcome::Applied;
         }
-        if self.sink.derives_rows() && known.digest_after(self.table, &rows) != news.digest {
+        if self.sink.derives_rows() && known.digest_after(self.table, &rows) != updates.digest {
             self.version = None;
-            return TakenNews::Diverged;
+            return UpdateOutcome::Diverged;
         }
-        self.take_changes(&rows, news.version, told_at);
-        TakenNews::Taken
+        self.apply_changes(&rows, updates.version, reported_at);
+        UpdateOutcome::Applied
     }
 
-    fn take_all(
+    fn replace_all(
         &mut self,
         rows: Vec<Row>,
         version: StoreVersion,
-        told_at: Timestamp,
-        told_by: &str,
+        reported_at: Timestamp,
+        source: &str,
     ) {
-        self.note_absence(told_at);
-        self.note_era(version, told_by);
+        self.record_store_outage(reported_at);
+        self.log_era_change(version, source);
         let rows = self.sink.newest(rows);
         let known = &self.context.known_tables;
-        let outdated = known.replace(self.table, &rows, version, told_at, self.compared());
-        self.note_outdated(outdated, version);
+        let outdated = known.replace(self.table, &rows, version, reported_at, self.compared());
+        self.record_outdated_rows(outdated, version);
         self.sink.replace(&rows, version);
         self.knows_rows = true;
-        self.note_taken_in(version, told_at);
+        self.record_applied(version, reported_at);
     }
 
-    fn take_changes(&mut self, rows: &[Row], version: StoreVersion, told_at: Timestamp) {
-        self.note_absence(told_at);
+    fn apply_changes(&mut self, rows: &[Row], version: StoreVersion, reported_at: Timestamp) {
+        self.record_store_outage(reported_at);
         self.knows_rows = true;
         let known = &self.context.known_tables;
-        let outdated = known.change(self.table, rows, version, told_at);
-        self.note_outdated(outdated, version);
+        let outdated = known.change(self.table, rows, version, reported_at);
+        self.record_outdated_rows(outdated, version);
         if !rows.is_empty() {
             self.sink.change(rows);
         }
-        self.note_taken_in(version, told_at);
+        self.record_applied(version, reported_at);
     }
 
     fn compared(&self) -> Compared {
@@ -290,7 +295,7 @@
     }
 
     /// Tells of rows as of a version that were passed over.
-    fn note_outdated(&self, rows: usize, version: StoreVersion) {
+    fn record_outdated_rows(&self, rows: usize, version: StoreVersion) {
         if rows == 0 {
             return;
         }
@@ -310,7 +315,7 @@
     }
 
     /// Tells of the store's return, if it is a later era in which the table is told now.
-    fn note_era(&self, version: StoreVersion, told_by: &str) {
+    fn log_era_change(&self, version: StoreVersion, source: &str) {
         let known = &self.context.known_tables;
         let former = known.version(self.table);
         if !self.knows_rows || former.era() == version.era() {
@@ -322,30 +327,31 @@
             former = former,
             present = version,
             rows_above = known.count_numbers_above(self.table, version),
-            told_by = told_by
+            told_by = source
         );
     }
 
     /// Takes in that all rows up to a version have been taken in.
-    fn note_taken_in(&mut self, version: StoreVersion, told_at: Timestamp) {
+    fn record_applied(&mut self, version: StoreVersion, reported_at: Timestamp) {
         if self.table == Table::Servers {
             self.context.cold.note_entries_known_to(version);
         }
-        self.note_told(version, told_at);
+        self.record_progress(version, reported_at);
     }
 
     /// Takes in that the store was away, if its news make a leap.
-    fn note_absence(&mut self, told_at: Timestamp) {
-        if self.knows_rows && told_at.since(self.told_at) > self.patience.away() {
+    fn record_store_outage(&mut self, reported_at: Timestamp) {
+        if self.knows_rows && reported_at.since(self.reported_at) > self.timeouts.outage_threshold()
+        {
             let regained_at = &self.context.store_regained_at;
             let mut regained_at = regained_at.lock().unwrap_or_else(PoisonError::into_inner);
             *regained_at = Some(self.context.clock.now());
         }
     }
 
-    fn note_told(&mut self, version: StoreVersion, told_at: Timestamp) {
+    fn record_progress(&mut self, version: StoreVersion, reported_at: Timestamp) {
         self.version = self.version.max(Some(version));
-        self.told_at = self.told_at.max(told_at);
+        self.reported_at = self.reported_at.max(reported_at);
     }
 
     /// Reads the whole table; if the store does not answer, another node's will do.
@@ -353,26 +359,26 @@
         let asked_at = self.context.clock.now();
         let progress = Progress::new();
         let call = self.context.store.read(self.table, &progress);
-        let end = Instant::now() + READ_LIMIT;
+        let end = Instant::now() + READ_TIMEOUT;
         let error = match while_moving(call, &progress, end).await {
             Some(Ok(read)) => {
-                self.note_answer();
+                self.record_success();
                 if !self
                     .context
                     .note_store_era(read.version.era(), TOLD_BY_STORE)
                 {
-                    return self.note_failure(StoreError::EraChanged).await;
+                    return self.retry_after_failure(StoreError::EraChanged).await;
                 }
-                let told_at = self.moment_of(&read, asked_at);
-                let rows = self.sink.told_form(read.rows);
-                let rows = self.sink.whole_table(&rows, true).unwrap_or(rows);
-                self.take_all(rows, read.version, told_at, TOLD_BY_STORE);
+                let reported_at = self.earliest_answer_time(&read, asked_at);
+                let rows = self.sink.peer_rows(read.rows);
+                let rows = self.sink.peer_table(&rows, true).unwrap_or(rows);
+                self.replace_all(rows, read.version, reported_at, TOLD_BY_STORE);
                 return;
             }
             Some(Err(error)) => error,
             None => StoreError::Unknown,
         };
-        self.note_failure(error).await;
+        self.retry_after_failure(error).await;
         if !self.knows_rows {
             self.ask_seeds().await;
         }
@@ -382,10 +388,10 @@
     async fn ask_changes(&mut self, after: StoreVersion) {
         // A store that was just lost is asked without a wait, so that its return is seen, and one
         // that was not asked before, so that its clock is known well.
-        let wait = if self.lost || !self.store_clock.is_known() {
+        let wait = if self.is_store_lost || !self.store_clock.is_known() {
             Duration::ZERO
         } else {
-            self.patience.wait
+            self.timeouts.wait
         };
         let asked_at = self.context.clock.now();
         let progress = Progress::new();
@@ -403,77 +409,80 @@
         };
         match answered {
             Some(Ok(changes)) => {
-                self.note_answer();
-                let told = changes.version;
-                self.context.note_store_era(told.era(), TOLD_BY_STORE);
-                match continuity(after, told, self.context.era()) {
+                self.record_success();
+                let reported = changes.version;
+                self.context.note_store_era(reported.era(), TOLD_BY_STORE);
+                match continuity(after, reported, self.context.era()) {
                     Continuity::Complete => {}
                     Continuity::EraChanged => {
                         self.version = None;
                         return;
                     }
                     Continuity::StaleEra => {
-                        return self.note_failure(StoreError::EraChanged).await;
+                        return self.retry_after_failure(StoreError::EraChanged).await;
                     }
                 }
-                let told_at = self.moment_of(&changes, asked_at);
-                let rows = self.sink.told_form(changes.rows);
-                match self.sink.whole_table(&rows, false) {
-                    Some(rows) => self.take_all(rows, changes.version, told_at, TOLD_BY_STORE),
-                    None => self.take_changes(&rows, changes.version, told_at),
+                let reported_at = self.earliest_answer_time(&changes, asked_at);
+                let rows = self.sink.peer_rows(changes.rows);
+                match self.sink.peer_table(&rows, false) {
+                    Some(rows) => {
+                        self.replace_all(rows, changes.version, reported_at, TOLD_BY_STORE)
+                    }
+                    None => self.apply_changes(&rows, changes.version, reported_at),
                 }
-                if self.is_due_to_pause(&rows) {
-                    tokio::time::sleep(CHANGES_PAUSE).await;
+                if self.should_delay(&rows) {
+                    tokio::time::sleep(CHANGES_BATCH_DELAY).await;
                 }
             }
             Some(Err(StoreError::HistoryGone)) => {
                 self.version = None;
-                self.is_told_from_start = false;
+                self.reads_changes_from_start = false;
             }
-            Some(Err(error)) => self.note_failure(error).await,
-            None => self.note_failure(StoreError::Unknown).await,
+            Some(Err(error)) => self.retry_after_failure(error).await,
+            None => self.retry_after_failure(StoreError::Unknown).await,
         }
     }
 
     /// Whether more changes are to be expected at once, after these have come.
-    fn is_due_to_pause(&mut self, rows: &[Row]) -> bool {
+    fn should_delay(&mut self, rows: &[Row]) -> bool {
         if rows.is_empty() {
             return false;
         }
         let now = self.context.clock.now();
         let changed_at = self.changed_at.replace(now);
-        let is_burst = changed_at.is_some_and(|before| now.since(before) < CHANGES_PAUSE * 2);
-        let tells_nodes = self.table == Table::Cluster && rows.iter().any(is_node_row);
-        is_burst || tells_nodes
+        let is_burst = changed_at.is_some_and(|before| now.since(before) < CHANGES_BATCH_DELAY * 2);
+        let changes_nodes = self.table == Table::Cluster && rows.iter().any(is_node_row);
+        is_burst || changes_nodes
     }
 
     /// When the store has told this, at the earliest, on this node's clock.
-    fn moment_of(&mut self, read: &ReadRows, asked_at: Timestamp) -> Timestamp {
+    fn earliest_answer_time(&mut self, read: &ReadRows, asked_at: Timestamp) -> Timestamp {
         let now = self.context.clock.now();
-        self.store_clock.moment_of(read.now, asked_at, now)
+        self.store_clock
+            .earliest_answer_time(read.now, asked_at, now)
     }
 
-    fn note_answer(&mut self) {
+    fn record_success(&mut self) {
         self.context.metrics.count_store_call(true);
         self.context.note_store_answer();
         self.backoff.reset();
-        if std::mem::take(&mut self.lost) {
+        if std::mem::take(&mut self.is_store_lost) {
             log_event!(events::STORE_REGAINED, table = format!("{:?}", self.table));
         }
     }
 
-    async fn note_failure(&mut self, error: StoreError) {
+    async fn retry_after_failure(&mut self, error: StoreError) {
         self.context.metrics.count_store_call(false);
         self.context.note_store_failure();
-        self.store_again_at = self.context.clock.now() + STORE_AGAIN;
-        if !std::mem::replace(&mut self.lost, true) {
+        self.store_retry_at = self.context.clock.now() + STORE_RETRY_DELAY;
+        if !std::mem::replace(&mut self.is_store_lost, true) {
             log_event!(
                 events::STORE_LOST,
                 table = format!("{:?}", self.table),
                 error = error
             );
         }
-        let pause = self.backoff.next_delay(rand::rng().random());
-        tokio::time::sleep(pause).await;
+        let delay = self.backoff.next_delay(rand::rng().random());
+        tokio::time::sleep(delay).await;
     }
 }
--- a/crates/spurpier-pipeline/src/follow/peer.rs
+++ b/crates/spurpier-pipeline/src/follow/peer.rs
@@ -10,41 +10,41 @@
 use spurpier_events::log_event;
 use tokio::time::timeout;
 
-use super::{Follower, RowSink, TakenNews};
+use super::{Follower, RowSink, UpdateOutcome};
 use crate::events;
 use crate::forward::{Call, CallOutcome, Link, NodeEndpoint, Reply, WatcherAssignment, millis};
 use crate::homes::PeerNode;
 use crate::known_tables::{News, table_number};
 
 /// How long one wait for a node's news lasts at most.
-const NEWS_WAIT: Duration = Duration::from_millis(1_200);
+const UPDATES_WAIT: Duration = Duration::from_millis(1_200);
 /// How long a starting node waits for a node that does not know the table itself yet, as when all
 /// start together: about what reading it at the store takes.
-const FIRST_NEWS_WAIT: Duration = Duration::from_millis(400);
+const INITIAL_UPDATES_WAIT: Duration = Duration::from_millis(400);
 /// How long connecting to a node may take.
-const CONNECT_LIMIT: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long a seed may take to answer.
-const SEED_LIMIT: Duration = Duration::from_millis(600);
+const SEED_TIMEOUT: Duration = Duration::from_millis(600);
 /// How long a node that starts again waits for any seed: two ways to another region and back.
-const RESTART_SEED_LIMIT: Duration = Duration::from_millis(200);
+const RESTART_SEED_TIMEOUT: Duration = Duration::from_millis(200);
 
-fn told_peer(told: NodeEndpoint) -> PeerNode {
+fn peer_node(endpoint: NodeEndpoint) -> PeerNode {
     PeerNode {
-        name: told.name,
-        address: told.address,
-        zone: told.zone,
+        name: endpoint.name,
+        address: endpoint.address,
+        zone: endpoint.zone,
     }
 }
 
 /// Why asking another node for a table was of no use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Missed {
+pub(super) enum PeerFailure {
     /// It cannot be reached.
     Unreachable,
     /// No whole answer came in time.
     Unanswered,
     /// It does not know the table, or is about to end.
-    NotTaken,
+    NotServed,
     /// It knows less than this node.
     Behind,
     /// What it told is too old.
@@ -53,15 +53,15 @@
     Diverged,
 }
 
-impl Missed {
-    const fn text(self) -> &'static str {
+impl PeerFailure {
+    const fn label(self) -> &'static str {
         match self {
-            Missed::Unreachable => "unreachable",
-            Missed::Unanswered => "unanswered",
-            Missed::NotTaken => "not_taken",
-            Missed::Behind => "behind",
-            Missed::Stale => "stale",
-            Missed::Diverged => "diverged",
+            PeerFailure::Unreachable => "unreachable",
+            PeerFailure::Unanswered => "unanswered",
+            PeerFailure::NotServed => "not_taken",
+            PeerFailure::Behind => "behind",
+            PeerFailure::Stale => "stale",
+            PeerFailure::Diverged => "diverged",
         }
     }
 }
@@ -71,31 +71,31 @@
     pub(super) async fn ask_peer(&mut self, peer: &PeerNode) -> bool {
         let asked_at = self.context.clock.now();
         let mut received_bytes = 0;
-        match self.news_of_peer(peer, &mut received_bytes).await {
+        match self.updates_from_peer(peer, &mut received_bytes).await {
             Ok(()) => true,
-            Err(missed) => {
-                self.note_missed(peer, missed, asked_at, received_bytes);
+            Err(failure) => {
+                self.record_peer_failure(peer, failure, asked_at, received_bytes);
                 false
             }
         }
     }
 
-    fn note_missed(
+    fn record_peer_failure(
         &self,
         peer: &PeerNode,
-        missed: Missed,
+        failure: PeerFailure,
         asked_at: Timestamp,
         received_bytes: u64,
     ) {
         let context = &self.context;
-        context.metrics.count_missed_news(missed.text());
+        context.metrics.count_missed_news(failure.label());
         let now = context.clock.now();
         if let Some(suppressed) = context.log_budget.take(events::NEWS_MISSED, now) {
             log_event!(
                 events::NEWS_MISSED,
                 table = format!("{:?}", self.table),
                 node = peer.name,
-                why = missed.text(),
+                why = failure.label(),
                 waited_ms = now.since(asked_at).as_millis(),
                 received_bytes = received_bytes,
                 suppressed = suppressed
@@ -104,100 +104,113 @@
     }
 
     /// Takes in what another node tells; counts the bytes that came from it meanwhile.
-    async fn news_of_peer(
+    async fn updates_from_peer(
         &mut self,
         peer: &PeerNode,
         received_bytes: &mut u64,
-    ) -> Result<(), Missed> {
+    ) -> Result<(), PeerFailure> {
         let context = &self.context;
         let clock = &context.clock;
-        let connect_until = clock.now() + CONNECT_LIMIT;
+        let connect_until = clock.now() + CONNECT_TIMEOUT;
         let link = context.links.link(peer.address, clock, connect_until);
-        let link = link.await.ok_or(Missed::Unreachable)?;
-        match self.news_of_link(&link, &peer.name, received_bytes).await {
+        let link = link.await.ok_or(PeerFailure::Unreachable)?;
+        match self
+            .updates_from_link(&link, &peer.name, received_bytes)
+            .await
+        {
             // All of the table is asked for now.
-            Err(Missed::Diverged) => self.news_of_link(&link, &peer.name, received_bytes).await,
+            Err(PeerFailure::Diverged) => {
+                self.updates_from_link(&link, &peer.name, received_bytes)
+                    .await
+            }
             taken => taken,
         }
     }
 
-    /// As [`Self::news_of_peer`], over an open connection.
-    async fn news_of_link(
+    /// As [`Self::updates_from_peer`], over an open connection.
+    async fn updates_from_link(
         &mut self,
         link: &Link,
-        told_by: &str,
+        source: &str,
         received_bytes: &mut u64,
-    ) -> Result<(), Missed> {
+    ) -> Result<(), PeerFailure> {
         let clock = &self.context.clock;
         // What is known grows stale at this moment: the answer must come before.
-        let fresh_for = (self.told_at + self.patience.stale()).since(clock.now());
+        let fresh_for = (self.reported_at + self.timeouts.max_age()).since(clock.now());
         let wait = match self.version {
-            Some(_) => NEWS_WAIT.min(fresh_for),
-            None => FIRST_NEWS_WAIT,
+            Some(_) => UPDATES_WAIT.min(fresh_for),
+            None => INITIAL_UPDATES_WAIT,
         };
         let asked_at = clock.now();
         let received_before = link.partial_bytes();
-        let limit = wait + self.patience.turn();
+        let limit = wait + self.timeouts.peer_response_timeout();
         let answered = self.call(link, wait, limit).await;
         *received_bytes += link.partial_bytes() - received_before;
-        let news = answered?;
-        let told_at = news.told_at(asked_at);
-        let age = self.context.clock.now().since(told_at);
-        match self.take_news(news, told_at, told_by) {
-            TakenNews::Taken => {}
-            TakenNews::Behind => return Err(Missed::Behind),
-            TakenNews::Diverged => return Err(Missed::Diverged),
+        let updates = answered?;
+        let reported_at = updates.told_at(asked_at);
+        let age = self.context.clock.now().since(reported_at);
+        match self.apply_updates(updates, reported_at, source) {
+            UpdateOutcome::Applied => {}
+            UpdateOutcome::Behind => return Err(PeerFailure::Behind),
+            UpdateOutcome::Diverged => return Err(PeerFailure::Diverged),
         }
-        if age >= self.patience.stale() {
-            return Err(Missed::Stale);
+        if age >= self.timeouts.max_age() {
+            return Err(PeerFailure::Stale);
         }
         Ok(())
     }
 
-    async fn call(&self, link: &Link, wait: Duration, limit: Duration) -> Result<News, Missed> {
+    async fn call(
+        &self,
+        link: &Link,
+        wait: Duration,
+        limit: Duration,
+    ) -> Result<News, PeerFailure> {
         let call = Call::Follow {
-            table: table_number(self.table).ok_or(Missed::NotTaken)?,
+            table: table_number(self.table).ok_or(PeerFailure::NotServed)?,
             version: self.version,
             wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX),
         };
         let clock = &self.context.clock;
         let end = clock.instant(clock.now() + limit);
         match link.call_while_moving(call, end).await {
-            CallOutcome::Replied(Reply::TableUpdates(news)) => Ok(news),
+            CallOutcome::Replied(Reply::TableUpdates(updates)) => Ok(updates),
             CallOutcome::Replied(
                 Reply::NotStarted | Reply::Answered(_) | Reply::Permits(_) | Reply::Watchers(_),
-            ) => Err(Missed::NotTaken),
-            CallOutcome::NotSent | CallOutcome::Lost => Err(Missed::Unanswered),
+            ) => Err(PeerFailure::NotServed),
+            CallOutcome::NotSent | CallOutcome::Lost => Err(PeerFailure::Unanswered),
         }
     }
 
     /// The nodes that a starting node asks for the list of nodes, so that not all of a fleet read all
     /// of it from the store; none if this one is to read it.
-    pub(super) async fn watchers_at_start(&self) -> Vec<PeerNode> {
+    pub(super) async fn initial_watchers(&self) -> Vec<PeerNode> {
         let settings = &self.context.settings;
         if settings.seeds.contains(&settings.listen.control) {
             return Vec::new();
         }
-        let told = if settings.node.first_start {
-            self.ask_seeds_in_turn().await
+        let assignment = if settings.node.first_start {
+            self.ask_seeds_sequentially().await
         } else {
-            self.ask_seeds_at_once().await
+            self.ask_seeds_concurrently().await
         };
-        match told {
-            Some(told) if !told.is_watcher => told.nodes.0.into_iter().map(told_peer).collect(),
+        match assignment {
+            Some(assignment) if !assignment.is_watcher => {
+                assignment.nodes.0.into_iter().map(peer_node).collect()
+            }
             _ => Vec::new(),
         }
     }
 
     /// Asks one seed after another, which all of a fleet do as it starts: each waits until it has read
     /// the list.
-    async fn ask_seeds_in_turn(&self) -> Option<WatcherAssignment> {
+    async fn ask_seeds_sequentially(&self) -> Option<WatcherAssignment> {
         let mut seeds = self.other_seeds();
         seeds.shuffle(&mut rand::rng());
         for seed in seeds {
-            let told = self.watchers_of_seed(seed, FIRST_NEWS_WAIT).await;
-            if told.is_some() {
-                return told;
+            let assignment = self.watchers_of_seed(seed, INITIAL_UPDATES_WAIT).await;
+            if assignment.is_some() {
+                return assignment;
             }
         }
         None
@@ -205,20 +218,23 @@
 
     /// Asks all seeds, and takes what one of them knows at once: they may be down, or starting too, and
     /// a node that has started again must not wait for them.
-    async fn ask_seeds_at_once(&self) -> Option<WatcherAssignment> {
+    async fn ask_seeds_concurrently(&self) -> Option<WatcherAssignment> {
         let seeds = self.other_seeds().into_iter();
         let mut asked: FuturesUnordered<_> = seeds
             .map(|seed| self.watchers_of_seed(seed, Duration::ZERO))
             .collect();
-        let told = async {
-            while let Some(told) = asked.next().await {
-                if told.is_some() {
-                    return told;
+        let assignment = async {
+            while let Some(assignment) = asked.next().await {
+                if assignment.is_some() {
+                    return assignment;
                 }
             }
             None
         };
-        timeout(RESTART_SEED_LIMIT, told).await.ok().flatten()
+        timeout(RESTART_SEED_TIMEOUT, assignment)
+            .await
+            .ok()
+            .flatten()
     }
 
     async fn watchers_of_seed(
@@ -234,11 +250,11 @@
             wait_ms: millis(wait),
         };
         let clock = &self.context.clock;
-        let end = clock.instant(clock.now() + SEED_LIMIT);
+        let end = clock.instant(clock.now() + SEED_TIMEOUT);
         let outcome = link.call_while_moving(call, end).await;
         link.close();
         match outcome {
-            CallOutcome::Replied(Reply::Watchers(told)) => Some(told),
+            CallOutcome::Replied(Reply::Watchers(assignment)) => Some(assignment),
             _ => None,
         }
     }
@@ -264,17 +280,17 @@
             return false;
         };
         let asked_at = self.context.clock.now();
-        let news = self.call(&link, Duration::ZERO, SEED_LIMIT).await;
+        let updates = self.call(&link, Duration::ZERO, SEED_TIMEOUT).await;
         link.close();
-        let Ok(news) = news else {
+        let Ok(updates) = updates else {
             return false;
         };
         log_event!(
             events::TABLE_HANDED_ON,
             table = format!("{:?}", self.table),
-            rows = news.rows.0.len()
+            rows = updates.rows.0.len()
         );
-        let told_at = news.told_at(asked_at);
-        self.take_news(news, told_at, &seed.to_string()) == TakenNews::Taken
+        let reported_at = updates.told_at(asked_at);
+        self.apply_updates(updates, reported_at, &seed.to_string()) == UpdateOutcome::Applied
     }
 }
--- a/crates/spurpier-pipeline/src/follow/store_clock.rs
+++ b/crates/spurpier-pipeline/src/follow/store_clock.rs
@@ -5,7 +5,7 @@
 use spurpier_core::time::Timestamp;
 
 /// How much faster than this node's clock the store's may run at most, in thousandths.
-const DRIFT: u32 = 1;
+const MAX_DRIFT_PER_MILLE: u32 = 1;
 
 /// Tells when the store gave an answer, at the earliest.
 ///
@@ -25,7 +25,7 @@
 
     /// The earliest moment at which the store can have answered a question that left at `asked_at`
     /// and whose answer is read `now`; `store_now` is what its clock showed then.
-    pub fn moment_of(
+    pub fn earliest_answer_time(
         &mut self,
         store_now: Option<Duration>,
         asked_at: Timestamp,
@@ -37,7 +37,7 @@
         let by_clock = self.known.and_then(|(moment, store_then)| {
             // An answer that was given before the known one tells nothing by its clock.
             let passed = store_now.checked_sub(store_then)?;
-            Some(moment + passed.saturating_sub(passed * DRIFT / 1_000))
+            Some(moment + passed.saturating_sub(passed * MAX_DRIFT_PER_MILLE / 1_000))
         });
         let moment = asked_at.max(by_clock.unwrap_or(asked_at)).min(now);
         self.known = Some((moment, store_now));
--- a/crates/spurpier-pipeline/src/places/cold.rs
+++ b/crates/spurpier-pipeline/src/places/cold.rs
@@ -17,7 +17,7 @@
 
 use super::ZoneGate;
 use crate::clock::Clock;
-use crate::configuration::InForce;
+use crate::configuration::IndexedConfiguration;
 use crate::events;
 use crate::ports::{Quota, ServerEntry};
 use crate::quota::{Quotas, Refused, TenantQuota};
@@ -63,7 +63,7 @@
 /// What all gates of a node share.
 pub struct ColdServers {
     clock: Clock,
-    configuration: watch::Receiver<Option<Arc<InForce>>>,
+    configuration: watch::Receiver<Option<Arc<IndexedConfiguration>>>,
     bound: ColdBound,
     /// Leaves to send, and what this node counts for others.
     pub leaves: Quotas,
@@ -86,7 +86,7 @@
     pub fn new(
         bounds: &BoundSettings,
         clock: Clock,
-        configuration: watch::Receiver<Option<Arc<InForce>>>,
+        configuration: watch::Receiver<Option<Arc<IndexedConfiguration>>>,
     ) -> Arc<Self> {
         Arc::new(ColdServers {
             clock,
--- a/crates/spurpier-pipeline/src/session/mod.rs
+++ b/crates/spurpier-pipeline/src/session/mod.rs
@@ -18,7 +18,7 @@
 
 use self::connection::{ClientConnection, Received};
 use self::state::{ClientName, SessionState};
-use crate::configuration::InForce;
+use crate::configuration::IndexedConfiguration;
 use crate::context::Context;
 use crate::events;
 use crate::ports::{ClientMessage, ErrorClass, Request, ServerError, TransactionState};
@@ -88,7 +88,7 @@
     }
 }
 
-async fn known_configuration(context: &Context) -> Option<Arc<InForce>> {
+async fn known_configuration(context: &Context) -> Option<Arc<IndexedConfiguration>> {
     let mut configuration = context.configuration.subscribe();
     let known = configuration.wait_for(Option::is_some);
     let known = timeout(CONFIGURATION_LIMIT, known).await.ok()?.ok()?;
--- a/crates/spurpier-pipeline/tests/fleet_spread.rs
+++ b/crates/spurpier-pipeline/tests/fleet_spread.rs
@@ -20,7 +20,7 @@
 const ZONES: usize = 6;
 const SIZES: [usize; 4] = [300, 1_000, 2_000, 6_100];
 /// What one watcher may have to tell: 200 KB of servers each are 2 s of a link of 20 Mbit/s for 25.
-const MOST_FOLLOWERS: usize = 64;
+const MAX_FOLLOWERS: usize = 64;
 /// The wait of a starting fleet for its list, in seconds, and what a shard takes in a second.
 const LISTED_WITHIN_S: usize = 3;
 const SHARD_WRITES_PER_S: usize = 200;
@@ -85,18 +85,20 @@
         let mut followers: BTreeMap<String, usize> = BTreeMap::new();
         let mut watchers = 0;
         for number in 0..size {
-            let told = homes.watchers_for(&name(number), &zone(number));
-            let told = told.expect("the list is known");
-            if told.is_watcher {
+            let peer_row = homes.watchers_for(&name(number), &zone(number));
+            let peer_row = peer_row.expect("the list is known");
+            if peer_row.is_watcher {
                 watchers += 1;
                 continue;
             }
-            assert!(told.nodes.0.len() <= 8, "what a seed tells is bounded");
-            assert_eq!(told.nodes.0[0].zone, zone(number), "the own zone first");
-            *followers.entry(told.nodes.0[0].name.clone()).or_default() += 1;
+            assert!(peer_row.nodes.0.len() <= 8, "what a seed tells is bounded");
+            assert_eq!(peer_row.nodes.0[0].zone, zone(number), "the own zone first");
+            *followers
+                .entry(peer_row.nodes.0[0].name.clone())
+                .or_default() += 1;
         }
         let most = followers.values().max().copied().unwrap_or_default();
-        assert!(most <= MOST_FOLLOWERS, "{size} nodes: {most} follow one");
+        assert!(most <= MAX_FOLLOWERS, "{size} nodes: {most} follow one");
         assert!(
             watchers * 16 <= size + 96,
             "{size} nodes: {watchers} watchers"
@@ -166,7 +168,7 @@
     }
 }
 
-fn told(read: &Result<ServerEntry, UnusableEntry>) -> Row {
+fn peer_row(read: &Result<ServerEntry, UnusableEntry>) -> Row {
     let row = Row {
         key: "i-7f3a91c2".to_owned(),
         value: vec![b'x'; 250].into(),
@@ -207,7 +209,7 @@
     #[test]
     fn nodes_tell_servers_as_the_store_does_in_a_third_of_the_bytes(entry in server()) {
         let read = Ok(entry);
-        let row = told(&read);
+        let row = peer_row(&read);
         prop_assert_eq!(row.version, StoreVersion::from_bits(9));
         prop_assert!(row.value.len() <= 250 / 3, "{} bytes", row.value.len());
         prop_assert_eq!(server_rows::read(&row), read);
@@ -230,6 +232,6 @@
     ];
     let fields = EntryField::ALL.map(UnusableEntry::Field);
     for why in reasons.into_iter().chain(fields) {
-        assert_eq!(server_rows::read(&told(&Err(why))), Err(why));
+        assert_eq!(server_rows::read(&peer_row(&Err(why))), Err(why));
     }
 }
--- a/crates/spurpier-pipeline/tests/table_eras.rs
+++ b/crates/spurpier-pipeline/tests/table_eras.rs
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone)]
 struct Store {
     content: Content,
-    copy: Content,
+    backup: Content,
     era: u64,
     /// Changes up to this version cannot be told any more.
     forgotten: u64,
@@ -44,7 +44,7 @@
     fn new() -> Self {
         Store {
             content: Content::default(),
-            copy: Content::default(),
+            backup: Content::default(),
             era: 1,
             forgotten: 0,
         }
@@ -56,8 +56,8 @@
         self.content.rows.insert(key, (value, version));
     }
 
-    fn come_back(&mut self) {
-        self.content = self.copy.clone();
+    fn restore(&mut self) {
+        self.content = self.backup.clone();
         self.era += 1;
         self.forgotten = 0;
     }
@@ -153,14 +153,14 @@
         });
     }
 
-    fn hear(&mut self) {
+    fn receive(&mut self) {
         match self.pending.take() {
             None => {}
             Some(Answer::HistoryGone) => self.position = None,
             Some(Answer::Whole { rows, version }) => {
                 self.era = self.era.max(version.era());
                 if version.era() == self.era {
-                    self.take_all(&rows, version);
+                    self.replace_all(&rows, version);
                 }
             }
             Some(Answer::Changes {
@@ -170,7 +170,7 @@
             }) => {
                 self.era = self.era.max(version.era());
                 match continuity(after, version, self.era) {
-                    Continuity::Complete => self.take_changes(&rows, version),
+                    Continuity::Complete => self.apply_changes(&rows, version),
                     Continuity::EraChanged => self.position = None,
                     Continuity::StaleEra => {}
                 }
@@ -178,14 +178,14 @@
         }
     }
 
-    fn take_all(&mut self, rows: &[Row], version: StoreVersion) {
+    fn replace_all(&mut self, rows: &[Row], version: StoreVersion) {
         let compared = Compared::ByVersion;
         self.known
             .replace(TABLE, rows, version, Timestamp::ZERO, compared);
         self.position = self.position.max(Some(version));
     }
 
-    fn take_changes(&mut self, rows: &[Row], version: StoreVersion) {
+    fn apply_changes(&mut self, rows: &[Row], version: StoreVersion) {
         self.known.change(TABLE, rows, version, Timestamp::ZERO);
         self.position = self.position.max(Some(version));
     }
@@ -194,17 +194,17 @@
     fn ask_node(&mut self, other: &FollowingNode) {
         let number = table_number(TABLE).expect("it is followed");
         let now = Timestamp::ZERO;
-        let Some(news) = other.known.news(number, self.position, now, now) else {
+        let Some(updates) = other.known.news(number, self.position, now, now) else {
             return;
         };
-        if news.version < self.known.version(TABLE) {
+        if updates.version < self.known.version(TABLE) {
             return;
         }
-        let rows: Vec<Row> = news.rows.0.into_iter().map(|row| row.0).collect();
-        if news.whole {
-            self.take_all(&rows, news.version);
+        let rows: Vec<Row> = updates.rows.0.into_iter().map(|row| row.0).collect();
+        if updates.whole {
+            self.replace_all(&rows, updates.version);
         } else {
-            self.take_changes(&rows, news.version);
+            self.apply_changes(&rows, updates.version);
         }
     }
 
@@ -218,13 +218,13 @@
 enum Step {
     Write(u8, u8),
     Remove(u8),
-    TakeCopy,
-    ComeBack,
+    Backup,
+    Restore,
     ForgetHistory,
     /// A watcher sends a question, which is answered at once.
     Ask(usize),
     /// The answer arrives.
-    Hear(usize),
+    Receive(usize),
     /// The follower asks a watcher.
     Follow(usize),
 }
@@ -243,11 +243,11 @@
         prop_oneof![
             6 => (0..KEYS, any::<u8>()).prop_map(|(key, value)| Step::Write(key, value)),
             3 => (0..KEYS).prop_map(Step::Remove),
-            1 => Just(Step::TakeCopy),
-            1 => Just(Step::ComeBack),
+            1 => Just(Step::Backup),
+            1 => Just(Step::Restore),
             1 => Just(Step::ForgetHistory),
             4 => (0..WATCHERS).prop_map(Step::Ask),
-            4 => (0..WATCHERS).prop_map(Step::Hear),
+            4 => (0..WATCHERS).prop_map(Step::Receive),
             3 => (0..WATCHERS).prop_map(Step::Follow),
         ]
         .boxed()
@@ -257,10 +257,10 @@
         match *step {
             Step::Write(key, value) => store.write(key, Some(value)),
             Step::Remove(key) => store.write(key, None),
-            Step::TakeCopy => store.copy = store.content.clone(),
-            Step::ComeBack => store.come_back(),
+            Step::Backup => store.backup = store.content.clone(),
+            Step::Restore => store.restore(),
             Step::ForgetHistory => store.forgotten = store.content.version,
-            Step::Ask(_) | Step::Hear(_) | Step::Follow(_) => {}
+            Step::Ask(_) | Step::Receive(_) | Step::Follow(_) => {}
         }
         store
     }
@@ -275,10 +275,10 @@
     /// Lets all that is on its way arrive, and all nodes ask until they know all.
     fn settle(&mut self, store: &Store) {
         for watcher in &mut self.watchers {
-            watcher.hear();
+            watcher.receive();
             for _ in 0..SETTLED_AFTER {
                 watcher.ask(store);
-                watcher.hear();
+                watcher.receive();
             }
         }
         for watcher in &self.watchers {
@@ -301,17 +301,17 @@
     fn apply(mut nodes: Nodes, store: &Store, step: Step) -> Nodes {
         match step {
             Step::Ask(watcher) => nodes.watchers[watcher].ask(store),
-            Step::Hear(watcher) => {
+            Step::Receive(watcher) => {
                 let node = &mut nodes.watchers[watcher];
                 let before = node.known.version(TABLE);
-                node.hear();
+                node.receive();
                 assert!(node.known.version(TABLE) >= before, "it went back");
             }
             Step::Follow(watcher) => nodes.follower.ask_node(&nodes.watchers[watcher]),
             Step::Write(..)
             | Step::Remove(_)
-            | Step::TakeCopy
-            | Step::ComeBack
+            | Step::Backup
+            | Step::Restore
             | Step::ForgetHistory => {}
         }
         nodes
@@ -343,20 +343,20 @@
     store.write(1, Some(1));
     let mut watcher = FollowingNode::new();
     watcher.ask(&store);
-    watcher.hear();
+    watcher.receive();
     let former = watcher.position;
     let number = table_number(TABLE).expect("it is followed");
-    let news = |watcher: &FollowingNode| {
+    let updates = |watcher: &FollowingNode| {
         let now = Timestamp::ZERO;
         watcher.known.news(number, former, now, now).expect("known")
     };
-    assert!(!news(&watcher).whole);
-    store.copy = store.content.clone();
-    store.come_back();
+    assert!(!updates(&watcher).whole);
+    store.backup = store.content.clone();
+    store.restore();
     for _ in 0..SETTLED_AFTER {
         watcher.ask(&store);
-        watcher.hear();
+        watcher.receive();
     }
-    let told = news(&watcher);
+    let told = updates(&watcher);
     assert!(told.whole && told.rows.0.len() == 2, "{told:?}");
 }
