--- a/crates/spurpier-pipeline/src/configuration/check.rs
+++ b/crates/spurpier-pipeline/src/configuration/check.rs
@@ -1,31 +1,31 @@
-//! What must hold of a configuration before it is put into force.
+//! Validation of the tenants of a configuration before it takes effect.
 
 use std::collections::HashSet;
 use std::fmt;
 
 use crate::ports::{Configuration, KeyDigest, Quota, Tenant};
 
-/// What is wrong with a tenant.
+/// A reason why a tenant is invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TenantFault {
     /// It has no name.
     NoName,
-    /// Its name holds a blank, which the wire to servers cannot carry.
+    /// Its name contains whitespace, which the protocol to servers cannot carry.
     WhitespaceInName,
-    /// Another tenant has its name.
+    /// An earlier tenant has the same name.
     DuplicateName,
-    /// The key at this place belongs to another tenant too.
+    /// The key at this index also belongs to an earlier tenant.
     SharedKey(usize),
-    /// Its rate or its burst is negative or no number.
+    /// Its rate or burst is negative, infinite or not a number.
     NegativeQuota,
 }
 
-/// A fault and the tenant's place in the list, from 0.
+/// A fault of one tenant of a configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TenantFinding {
-    /// The tenant's place.
+    /// Zero-based index of the tenant in the configuration.
     pub tenant: usize,
-    /// What is wrong.
+    /// Why the tenant is invalid.
     pub fault: TenantFault,
 }
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// All findings on a configuration's tenants, in their order.
+/// Returns all faults of a configuration's tenants, in the order of the tenants.
 pub fn check_tenants(configuration: &Configuration) -> Vec<TenantFinding> {
     let mut names = HashSet::new();
     let mut keys: HashSet<&KeyDigest> = HashSet::new();
--- a/crates/spurpier-pipeline/src/configuration/mod.rs
+++ b/crates/spurpier-pipeline/src/configuration/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration in force on this node; it only ever moves to a newer version.
+//! The configuration in effect on this node. Its version never decreases.
 
 mod check;
 mod regions;
@@ -22,42 +22,42 @@
 use crate::quota::TenantQuota;
 use crate::tenant::{AdmissionError, Caller};
 
-/// How many findings one log line names; thousands of routes may name the same region.
+/// Maximum number of findings in one log line; thousands of routes may name the same region.
 const MAX_LOGGED_FINDINGS: usize = 20;
 
-/// How a client's statements are served.
+/// A client that may use a database, with the terms of its access.
 #[derive(Debug, Clone)]
 pub struct AdmittedClient {
-    /// The route of its database.
+    /// The route of the database.
     pub route: Arc<Route>,
-    /// Whom its statements are run for.
+    /// The tenant and key on whose behalf statements run.
     pub caller: Caller,
-    /// Where they may run: where both the route and the tenant allow it.
+    /// The regions in which statements may run: those that both the route and the tenant allow.
     pub allowed_regions: AllowedRegions,
 }
 
-/// What holds for a tenant.
+/// The name and the allowed regions of a tenant, looked up by its keys.
 #[derive(Debug)]
 struct TenantAccess {
     name: Arc<str>,
     allowed_regions: AllowedRegions,
 }
 
-/// A configuration, indexed.
+/// A configuration with indexes by database, group, key and tenant.
 #[derive(Debug)]
 pub struct IndexedConfiguration {
-    /// The configuration.
+    /// The configuration that the indexes are built from.
     pub configuration: Configuration,
     routes: HashMap<String, Arc<Route>>,
     groups: HashMap<String, GroupSettings>,
-    /// The holders of keys; none if clients are not told apart.
+    /// The tenant that holds each key; none if clients are not identified as tenants.
     holders: Option<HashMap<KeyDigest, Arc<TenantAccess>>>,
-    /// How much tenants may ask for, by their names.
+    /// The quotas of tenants by name.
     quotas: HashMap<String, Quota>,
 }
 
 impl IndexedConfiguration {
-    /// Indexes a configuration; of two routes for one database, the first one holds.
+    /// Indexes a configuration; of two routes for one database, the first one applies.
     pub fn new(configuration: Configuration) -> Self {
         let mut routes = HashMap::new();
         for route in &configuration.routes {
@@ -79,16 +79,18 @@
         }
     }
 
-    /// The route of a database.
+    /// Returns the route of a database.
     pub fn route(&self, database: &str) -> Option<Arc<Route>> {
         self.routes.get(database).map(Arc::clone)
     }
 
-    /// How a client's statements in a database are served.
+    /// Admits a client to a database. It needs the key of a tenant if clients are identified as
+    /// tenants and the route is not public.
     ///
     /// # Errors
     ///
-    /// [`AdmissionError`] if the client is not served there.
+    /// Returns an [`AdmissionError`] if the database has no route, or if a key of a tenant is
+    /// needed and no tenant holds the client's key.
     pub fn admit(
         &self,
         database: &str,
@@ -114,35 +116,35 @@
         })
     }
 
-    /// How much a tenant may ask for; none if that is not bounded.
+    /// Returns the quota of a tenant; none if it is not limited.
     pub fn quota(&self, tenant: &str) -> Option<TenantQuota> {
         let quota = self.quotas.get(tenant).copied()?;
         let version = self.configuration.version;
         Some(TenantQuota { quota, version })
     }
 
-    /// Whether clients are told apart by the tenants that hold their keys.
+    /// Whether clients are identified as tenants by their keys.
     pub fn has_tenants(&self) -> bool {
         self.holders.is_some()
     }
 
-    /// Whether the operations of any tenant are bounded.
+    /// Whether any tenant has a quota.
     pub fn has_quotas(&self) -> bool {
         !self.quotas.is_empty()
     }
 
-    /// Requests a second to a server of a group while it is cold; none if that is not bounded.
+    /// Returns the maximum requests per second to a cold server of a group; none if not limited.
     pub fn cold_per_second(&self, group: &str) -> Option<f64> {
         self.groups.get(group)?.cold_per_second
     }
 
-    /// Whether the requests to cold servers of any group are bounded.
+    /// Whether any group limits the requests to its cold servers.
     pub fn has_cold_rates(&self) -> bool {
         let mut groups = self.groups.values();
         groups.any(|group| group.cold_per_second.is_some())
     }
 
-    /// The connections that each server of a group takes; none if the group is not known.
+    /// Returns the connection limit of each server of a group; none if the group is not known.
     pub fn connections(&self, group: &str) -> Option<usize> {
         self.groups.get(group).map(|group| group.connections)
     }
@@ -161,11 +163,11 @@
     holders
 }
 
-/// Puts each newer configuration into force.
+/// Applies each newer configuration and the evacuations of zones.
 pub struct ConfigurationSink(pub Arc<Context>);
 
 impl ConfigurationSink {
-    /// Takes in what is known; evacuations first, so that a node which becomes ready knows them.
+    /// Applies the known rows: evacuations first, so that a node knows them when it becomes ready.
     fn apply_known(&self) {
         let known = &self.0.known_tables;
         let rows = known.rows(Table::Configuration);
@@ -192,8 +194,8 @@
 }
 
 impl ConfigurationSink {
-    /// Has zones taken back whose rows the store has lost, if the operator has not written them again
-    /// in time.
+    /// Schedules the end of evacuations whose rows the store has lost: they end unless the operator
+    /// writes them again in time.
     fn schedule_hold_expiry(&self) {
         let Some(held_until) = self.0.places.evacuations.held_until() else {
             return;
@@ -219,8 +221,9 @@
         true
     }
 
-    /// The operator writes the newest configuration again after the store's return; until then the
-    /// store, and nodes that start meanwhile, tell an older one.
+    /// Keeps the known configuration if it is newer than the reported one. After the store was
+    /// restored from an older copy, it and nodes that start meanwhile report an older configuration
+    /// until the operator writes the newest one again.
     fn newest(&self, reported: Vec<Row>) -> Vec<Row> {
         let known = self.0.known_tables.rows(Table::Configuration);
         if rows::document_version(&reported) >= rows::document_version(&known) {
@@ -233,7 +236,7 @@
         newest
     }
 
-    /// The store's row of the configuration tells all of it; evacuations are told one by one.
+    /// The store reports the configuration as one row, and each evacuation as a row of its own.
     fn peer_table(&self, stored: &[Row], is_whole: bool) -> Option<Vec<Row>> {
         if stored.is_empty() && !is_whole {
             return None;
@@ -252,8 +255,8 @@
 }
 
 impl ConfigurationSink {
-    /// The rows of the configuration after the store has told of its rows; one that cannot be read
-    /// or has faults tells nothing new.
+    /// Returns the rows of the configuration after an answer of the store. A stored configuration
+    /// that cannot be decoded or has faults is ignored, and the known rows are returned.
     fn configuration_rows(&self, stored: &[Row], known: Vec<Row>) -> Vec<Row> {
         let Some((configuration, version)) = self.stored_configuration(stored) else {
             return known;
@@ -269,8 +272,8 @@
         rows::split(&configuration, version, &known)
     }
 
-    /// The configuration among rows that the store has told, and its row's version; rows of other
-    /// kinds may stand beside it.
+    /// Returns the latest readable configuration among rows of the store, and the version of its
+    /// row. Rows of evacuated zones are skipped.
     fn stored_configuration(&self, stored: &[Row]) -> Option<(Configuration, StoreVersion)> {
         let entries = &self.0.entries;
         let others = stored
@@ -287,7 +290,7 @@
     }
 }
 
-/// What names a configuration's faults holds no key.
+/// Logs why a configuration was refused. The findings contain no keys of clients.
 fn log_refused(version: u64, findings: &[TenantFinding]) {
     let findings: Vec<String> = findings.iter().map(ToString::to_string).collect();
     log_event!(
@@ -318,7 +321,7 @@
     log_event!(events::ROW_MALFORMED, table = "configuration", key = key);
 }
 
-/// Puts a configuration into force if it is newer than the one that is.
+/// Puts a configuration into effect if it is newer than the current one.
 fn put_into_force(context: &Context, configuration: Configuration) {
     let version = configuration.version;
     for group in &configuration.groups {
--- a/crates/spurpier-pipeline/src/configuration/regions.rs
+++ b/crates/spurpier-pipeline/src/configuration/regions.rs
@@ -1,8 +1,8 @@
-//! Regions that a configuration names and no zone has.
+//! Detection of regions that a configuration names but that contain no zone.
 //!
-//! They are told of and not refused: what is bound to such a region runs nowhere there, which is
-//! what the configuration says, and a configuration that the operator's store has taken must come
-//! into force.
+//! Such regions are logged, not rejected: a route or tenant that is restricted to one runs nowhere
+//! in it, as the configuration says, and a configuration that the operator's store has accepted
+//! must take effect.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -11,21 +11,21 @@
 
 use crate::ports::Configuration;
 
-/// What names a region.
+/// The entry of a configuration that names a region.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReferencedBy {
-    /// The route at this place in the list, from 0.
+    /// The route at this zero-based index.
     Route(usize),
-    /// The tenant at this place in the list, from 0.
+    /// The tenant at this zero-based index.
     Tenant(usize),
 }
 
-/// A region that no zone has, and what names it.
+/// A region without zones that a configuration names.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnknownRegion {
-    /// What names it.
+    /// The route or tenant that names the region.
     pub referenced_by: ReferencedBy,
-    /// Its name.
+    /// The name of the region.
     pub region: String,
 }
 
@@ -39,8 +39,8 @@
     }
 }
 
-/// All regions that a configuration names and that are not among those of the zones, in the order
-/// of the routes and then of the tenants.
+/// Returns all regions that a configuration names and that are not in `known`: first those of the
+/// routes, then those of the tenants, each in list order.
 pub fn unknown_regions(
     configuration: &Configuration,
     known: &BTreeSet<&str>,
--- a/crates/spurpier-pipeline/src/configuration/rows.rs
+++ b/crates/spurpier-pipeline/src/configuration/rows.rs
@@ -1,9 +1,9 @@
-//! The configuration as the rows by which nodes tell each other of it.
+//! The configuration as the rows that nodes send to each other.
 //!
-//! The store keeps the configuration in one row, which changes whole, and one row for each zone that
-//! is evacuated. Among nodes it is one row a route, a tenant and an evacuated zone, and one for all
-//! else, so that only what a change concerns travels: a change of two of 1,400 routes sent 263 KB
-//! before, and sends 187 bytes (counted at the sender's link in `large_configuration`).
+//! The store keeps the whole configuration in one row, and each evacuated zone in a row of its own.
+//! Nodes exchange one row for each route, tenant and evacuated zone, and one for everything else,
+//! so that only changed rows are sent. A change of two of 1,400 routes sends 187 bytes; with a
+//! single row it sent 263 KB (counted at the sender's link in the test `large_configuration`).
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,13 +17,13 @@
 use crate::forward::{WireFreshness, duration, millis};
 use crate::ports::{Configuration, GroupSettings, KeyDigest, Quota, Route, Row, Tenant};
 
-/// What stands before a database's name in the key of its route's row.
+/// Key prefix of a route's row, followed by the name of the database.
 const ROUTE_PREFIX: &str = "route/";
-/// What stands before a tenant's name in the key of its row.
+/// Key prefix of a tenant's row, followed by the name of the tenant.
 const TENANT_PREFIX: &str = "tenant/";
-/// What stands before the name of an evacuated zone in the key of its row, which has no value.
+/// Key prefix of an evacuated zone's row, followed by the name of the zone. The row has no value.
 const EVACUATED_PREFIX: &str = "evacuated/";
-/// The key of the row with all that is neither a route nor a tenant.
+/// Key of the row that holds everything but routes, tenants and evacuated zones.
 const SETTINGS_KEY: &str = "settings";
 
 #[derive(Debug, SerBin, DeBin)]
@@ -47,7 +47,7 @@
 struct SettingsRow {
     version: u64,
     transaction_idle_ms: u32,
-    /// Whether clients are told apart.
+    /// Whether clients are identified as tenants by their keys.
     has_tenants: bool,
     groups: List<GroupRow>,
 }
@@ -60,17 +60,17 @@
     cold_per_second: Option<f64>,
 }
 
-/// The rows of a configuration that the store wrote at `version`. A row that is `known` keeps the
-/// version from which on it is known, since it is no news.
+/// Splits a configuration that the store wrote at `version` into rows. A row that is unchanged from
+/// `known` keeps its known version, so that it is not sent again.
 ///
-/// `known` is in the order of the keys, and so is what is returned. Of two routes for one database
-/// the first one holds.
+/// `known` and the returned rows are sorted by key. Of two routes for one database, the first one
+/// applies.
 pub fn split(configuration: &Configuration, version: StoreVersion, known: &[Row]) -> Vec<Row> {
     let mut rows: Vec<Row> = configuration.routes.iter().map(route_row).collect();
     let tenants = configuration.tenants.iter().flatten();
     rows.extend(tenants.map(tenant_row));
     rows.push(settings_row(configuration));
-    // Stable, so that the first of two routes for one database stays the first.
+    // The sort is stable: the first of two routes for one database stays first and is kept.
     rows.sort_by(|one, other| one.key.cmp(&other.key));
     rows.dedup_by(|later, first| later.key == first.key);
     assign_row_versions(&mut rows, known, version);
@@ -127,11 +127,12 @@
     }
 }
 
-/// The configuration of its rows, those of evacuated zones aside.
+/// Assembles a configuration from its rows, without the rows of evacuated zones.
 ///
 /// # Errors
 ///
-/// The key of the first row that cannot be read, or the settings' key if they are missing.
+/// Returns the key of the first row that cannot be decoded, or the key of the settings row if that
+/// is missing or cannot be decoded.
 pub fn join(rows: &[Row]) -> Result<Configuration, String> {
     let mut routes = Vec::with_capacity(rows.len());
     let mut settings = None;
@@ -155,16 +156,18 @@
     })
 }
 
-/// The version of the configuration that rows hold; none if they hold none that can be read.
+/// Returns the configuration version in the settings row; none if that row is missing or cannot be
+/// decoded.
 pub fn document_version(rows: &[Row]) -> Option<u64> {
     let settings = rows.iter().find(|row| row.key == SETTINGS_KEY)?;
     let settings = SettingsRow::deserialize_bin(&settings.value).ok()?;
     Some(settings.version)
 }
 
-/// The rows of evacuated zones after the store has told of its rows: of all of them if `is_whole`,
-/// else of those that have changed. `known` are those from before; `zone_of` reads the zone of a row
-/// of the store.
+/// Returns the rows of evacuated zones after an answer of the store.
+///
+/// `stored` holds all rows of the store if `is_whole`, else the changed ones. `known` holds the
+/// previous rows of evacuated zones. `zone_of` decodes the zone of a row of the store.
 pub fn evacuated_rows(
     stored: &[Row],
     is_whole: bool,
@@ -195,12 +198,12 @@
     rows.into_values().collect()
 }
 
-/// Whether a row is that of an evacuated zone.
+/// Whether a row marks an evacuated zone.
 pub fn is_evacuated(row: &Row) -> bool {
     row.key.starts_with(EVACUATED_PREFIX)
 }
 
-/// The evacuated zones that rows tell of.
+/// Returns the names of the evacuated zones among rows.
 pub fn evacuated_zones(rows: &[Row]) -> BTreeSet<String> {
     let names = rows
         .iter()
@@ -242,13 +245,13 @@
     }
 }
 
-/// Allowed regions as messages carry them.
+/// Encodes allowed regions for a message; none if every region is allowed.
 pub fn region_names(allowed: &AllowedRegions) -> Option<List<LongText>> {
     let names = allowed.names()?;
     Some(List(names.iter().cloned().map(LongText).collect()))
 }
 
-/// Allowed regions that a message carries.
+/// Decodes allowed regions from a message; none allows every region.
 pub fn allowed_regions(names: Option<List<LongText>>) -> AllowedRegions {
     names.map_or(AllowedRegions::ANYWHERE, |names| {
         AllowedRegions::only(names.0.into_iter().map(|name| name.0))
--- a/crates/spurpier-pipeline/src/follow/mod.rs
+++ b/crates/spurpier-pipeline/src/follow/mod.rs
@@ -1,9 +1,10 @@
-//! Following one table of the store, for ever: at the store itself, or at a node that knows it.
+//! Following of one table, either from the store or from another node.
 //!
-//! Every call to the store has its price, and it takes so many a second from all nodes together.
-//! A few nodes, the watchers, follow it; the others follow a watcher, the nearest first, as long as
-//! what it tells is as fresh as the store's own news would be. A watcher that the store does not
-//! answer follows another one, and a node that no watcher serves follows the store.
+//! Every call to the store has a cost, and the store limits the calls per second of all nodes
+//! together. So only a few nodes, the watchers, follow the store. The others follow a watcher, the
+//! nearest first, as long as its updates are as fresh as those of the store would be. A watcher
+//! that gets no answer from the store follows another watcher, and a node that no watcher serves
+//! follows the store.
 
 mod peer;
 mod store_clock;
@@ -31,66 +32,67 @@
 use self::store_clock::StoreClock;
 use self::timeouts::{CHANGES_SLACK, FollowTimeouts};
 
-/// How long a whole read may take until its answer begins to come.
+/// Timeout for a read of the whole table until its answer starts to arrive.
 const READ_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// The pauses after failed calls.
+/// Delays before retries of failed calls to the store.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(50);
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(800);
-/// For how long a node that told nothing of use is passed over.
+/// How long a node is not asked again after a failed request.
 const PEER_EXCLUSION: Duration = Duration::from_secs(3);
-/// How often a watcher that follows another one asks the store again.
+/// Delay after which a watcher that lost the store calls it again.
 const STORE_RETRY_DELAY: Duration = Duration::from_secs(2);
-/// The pause after a change of the nodes, so that nodes which start together are told at once, and
-/// after a change of any table that follows another one within twice this time: a call to the store
-/// tells of all changes since the last one, however many there are.
+/// Delay before the next call after a change of the nodes, so that nodes which start together are
+/// reported in one call, and after any change that follows another one within twice this time. A
+/// call to the store returns all changes since the last one.
 const CHANGES_BATCH_DELAY: Duration = Duration::from_millis(250);
-/// How long the nodes wait for each other to be listed at the first start of the whole system: the
-/// store takes 200 writes a second, and 295 nodes write one each.
+/// How long nodes wait for each other to be listed at the first start of the whole system: the
+/// store accepts 200 writes per second, and 295 nodes write one entry each.
 const FLEET_REGISTRATION_TIME: Duration = Duration::from_millis(2_000);
 /// How long a starting node waits for the list of nodes before it reads the other tables itself.
 const NODE_LIST_TIMEOUT: Duration = Duration::from_millis(800);
-/// As [`NODE_LIST_TIMEOUT`], at the first start of the whole system: a seed reads the list, then the watchers,
-/// then all others.
+/// As [`NODE_LIST_TIMEOUT`], at the first start of the whole system: the seeds read the list first,
+/// then the watchers, then all other nodes.
 const FLEET_NODE_LIST_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// What is done with the rows of a table.
+/// Receives the rows of a followed table.
 pub trait RowSink: Send {
-    /// Takes in all rows as of a version of the store; those that are not among them are gone.
+    /// Replaces all rows by those as of a version of the store; rows not among them are gone.
     fn replace(&mut self, rows: &[Row], version: StoreVersion);
 
-    /// Takes in rows that have changed or are gone, in the order of their changes.
+    /// Applies rows that have changed or are gone, in the order of their changes.
     fn change(&mut self, rows: &[Row]);
 
-    /// The store's rows as nodes tell them to each other: with the same keys and versions.
+    /// Converts rows of the store to the form that nodes exchange, with the same keys and versions.
     fn peer_rows(&self, rows: Vec<Row>) -> Vec<Row> {
         rows
     }
 
-    /// All rows under which nodes tell each other of the table, after the store has `reported` of its
-    /// rows: of all of them if `is_whole`, else of those that have changed. None if nothing has, or if
-    /// the store's rows are those of the nodes.
+    /// Returns the whole table in the rows that nodes exchange, after an answer of the store with
+    /// all of its rows if `is_whole`, else with the changed ones. None if nothing changed, or if
+    /// nodes exchange the rows of the store themselves.
     fn peer_table(&self, _stored: &[Row], _is_whole: bool) -> Option<Vec<Row>> {
         None
     }
 
-    /// The rows to go on with, after all of them were told: those, unless the store came back from a
-    /// copy that is older than what is known.
+    /// Selects the rows to keep after all rows were reported: the reported ones, unless the store
+    /// was restored from a copy that is older than the known rows.
     fn newest(&self, reported: Vec<Row>) -> Vec<Row> {
         reported
     }
 
-    /// Whether the rows that nodes tell each other are not the store's own, so that two nodes may
-    /// give one row different versions.
+    /// Whether nodes derive the rows that they exchange from those of the store, so that two nodes
+    /// may give the same row different versions.
     ///
-    /// A node that went from one version of the store's row to another does not know what was added
-    /// and dropped again in between, and tells nothing of it. A node that knows of it would keep
-    /// it: one of 59 ran statements for a dropped database seven seconds later (seen in its log).
+    /// A node that skipped versions of the store's row does not know what was added and removed
+    /// again in between, and does not report the removal. A node that knows the added row would
+    /// then keep it: one of 59 nodes ran statements for a dropped database seven seconds later.
+    /// Digests of such tables are compared to prevent this.
     fn derives_rows(&self) -> bool {
         false
     }
 }
 
-/// Follows a table; never returns.
+/// Follows a table and passes its rows to `sink`; never returns.
 pub async fn follow(context: Arc<Context>, table: Table, sink: impl RowSink) {
     let first_start = context.settings.node.first_start;
     let mut follower = Follower {
@@ -116,8 +118,8 @@
     }
 }
 
-/// Gives the rows of a whole table that are news the version from which on they are; the others
-/// keep that from which on they are known. `known` is in the order of its keys.
+/// Sets the version of each row of a whole table: `version` if the row is new or changed, else its
+/// known version. `known` is sorted by key.
 pub fn assign_row_versions(rows: &mut [Row], known: &[Row], version: StoreVersion) {
     for row in rows {
         let same = known.binary_search_by(|known| known.key.cmp(&row.key));
@@ -127,14 +129,15 @@
     }
 }
 
-/// What became of another node's news.
+/// Result of applying updates of another node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum UpdateOutcome {
-    /// They are known now.
+    /// The updates were applied.
     Applied,
-    /// That node knows less than this one.
+    /// The other node's version is older than this node's, so the updates were ignored.
     Behind,
-    /// With them this node would know another table than that one: all of it must be asked for.
+    /// The updates would give this node a different table than the other node has, so the whole
+    /// table must be requested.
     Diverged,
 }
 
@@ -144,29 +147,30 @@
     timeouts: FollowTimeouts,
     sink: S,
     backoff: Backoff,
-    /// Whether the store left the last call without an answer.
+    /// Whether the last call to the store failed.
     is_store_lost: bool,
     store_retry_at: Timestamp,
-    /// The store's version up to which all changes are known; none if all must be read anew.
+    /// Version of the store up to which all changes are known; none if the whole table must be
+    /// read.
     version: Option<StoreVersion>,
-    /// Whether the table was ever read, or told by another node.
+    /// Whether the table was ever read from the store or another node.
     knows_rows: bool,
-    /// When the store last told of the table, to this node or to the one that it follows.
+    /// When the store last reported the table, to this node or to the node that it follows.
     reported_at: Timestamp,
     store_clock: StoreClock,
     excluded_peers: HashMap<String, Timestamp>,
-    /// When the store last told of changes.
+    /// When the store last reported changes.
     changed_at: Option<Timestamp>,
-    /// Whether nothing has been asked for yet.
+    /// Whether no call has been made yet.
     is_new: bool,
-    /// Whether the store may remember all changes of the table since the whole system has started:
-    /// one call then tells of all shards.
+    /// Whether the store may still have all changes of the table since the first start of the whole
+    /// system: one call for changes then returns the rows of all shards.
     reads_changes_from_start: bool,
 }
 
 impl<S: RowSink> Follower<S> {
-    /// Before the first call: a starting node reads from the store which nodes there are, and asks
-    /// these for the rest.
+    /// Waits before the first call. A starting node reads the list of nodes from the store, and
+    /// then asks these nodes for the other tables.
     async fn wait_for_node_list(&self) {
         let first_start = self.context.settings.node.first_start;
         let (registration_time, limit) = if first_start {
@@ -182,7 +186,7 @@
         }
     }
 
-    /// One call, at the node or the store that is followed.
+    /// Requests the table or its changes once: from other nodes, else from the store.
     async fn step(&mut self) {
         let is_new = std::mem::take(&mut self.is_new);
         let mut peers = self.peers();
@@ -203,11 +207,11 @@
         }
     }
 
-    /// The nodes to ask before the store; none if the store is to be asked.
+    /// Returns the nodes to ask before the store; empty if the store is to be asked directly.
     fn peers(&mut self) -> Vec<PeerNode> {
         let now = self.context.clock.now();
         if !self.knows_rows && self.table == Table::Cluster {
-            // Which other nodes there are is read there.
+            // The list of other nodes has to be read from the store first.
             return Vec::new();
         }
         let watchers = self.context.homes.watchers();
@@ -227,8 +231,9 @@
             .collect()
     }
 
-    /// Takes in what another node tells, unless it knows less than this node. That holds also while
-    /// this node reads the table anew: rows that it knows to be gone would come back for good.
+    /// Applies updates of another node unless its version is older than this node's. This also
+    /// holds while this node rereads the table: rows that it knows to be gone would otherwise come
+    /// back permanently.
     fn apply_updates(
         &mut self,
         updates: News,
@@ -294,7 +299,7 @@
         }
     }
 
-    /// Tells of rows as of a version that were passed over.
+    /// Counts and logs rows of an update that were ignored because newer ones are known.
     fn record_outdated_rows(&self, rows: usize, version: StoreVersion) {
         if rows == 0 {
             return;
@@ -314,7 +319,7 @@
         }
     }
 
-    /// Tells of the store's return, if it is a later era in which the table is told now.
+    /// Logs that the store was restored, if the table is now reported in another era.
     fn log_era_change(&self, version: StoreVersion, source: &str) {
         let known = &self.context.known_tables;
         let former = known.version(self.table);
@@ -331,7 +336,7 @@
         );
     }
 
-    /// Takes in that all rows up to a version have been taken in.
+    /// Records that all rows up to a version have been applied.
     fn record_applied(&mut self, version: StoreVersion, reported_at: Timestamp) {
         if self.table == Table::Servers {
             self.context.cold.note_entries_known_to(version);
@@ -339,7 +344,7 @@
         self.record_progress(version, reported_at);
     }
 
-    /// Takes in that the store was away, if its news make a leap.
+    /// Records that the store was unavailable, if there is a gap between its updates.
     fn record_store_outage(&mut self, reported_at: Timestamp) {
         if self.knows_rows && reported_at.since(self.reported_at) > self.timeouts.outage_threshold()
         {
@@ -354,7 +359,8 @@
         self.reported_at = self.reported_at.max(reported_at);
     }
 
-    /// Reads the whole table; if the store does not answer, another node's will do.
+    /// Reads the whole table from the store, or from a seed if the store does not answer and no
+    /// rows are known.
     async fn read(&mut self) {
         let asked_at = self.context.clock.now();
         let progress = Progress::new();
@@ -384,10 +390,10 @@
         }
     }
 
-    /// Waits for changes after a version and takes them in.
+    /// Waits for changes after a version and applies them.
     async fn ask_changes(&mut self, after: StoreVersion) {
-        // A store that was just lost is asked without a wait, so that its return is seen, and one
-        // that was not asked before, so that its clock is known well.
+        // Without a wait, the return of a lost store is noticed at once, and the first reading of
+        // the store's clock is precise.
         let wait = if self.is_store_lost || !self.store_clock.is_known() {
             Duration::ZERO
         } else {
@@ -401,7 +407,7 @@
         let mut era = self.context.store_era.subscribe();
         let answered = tokio::select! {
             answered = while_moving(call, &progress, end) => answered,
-            // The sender lives as long as the context.
+            // The sender is never dropped before the context.
             _ = era.wait_for(|era| after != StoreVersion::NONE && *era > after.era()) => {
                 self.version = None;
                 return;
@@ -443,7 +449,7 @@
         }
     }
 
-    /// Whether more changes are to be expected at once, after these have come.
+    /// Whether to delay the next call because more changes are expected soon.
     fn should_delay(&mut self, rows: &[Row]) -> bool {
         if rows.is_empty() {
             return false;
@@ -455,7 +461,7 @@
         is_burst || changes_nodes
     }
 
-    /// When the store has told this, at the earliest, on this node's clock.
+    /// Returns the earliest time, on this node's clock, at which the store gave an answer.
     fn earliest_answer_time(&mut self, read: &ReadRows, asked_at: Timestamp) -> Timestamp {
         let now = self.context.clock.now();
         self.store_clock
--- a/crates/spurpier-pipeline/src/follow/peer.rs
+++ b/crates/spurpier-pipeline/src/follow/peer.rs
@@ -1,4 +1,4 @@
-//! Asking other nodes for a table.
+//! Requests for a table to other nodes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,16 +16,16 @@
 use crate::homes::PeerNode;
 use crate::known_tables::{News, table_number};
 
-/// How long one wait for a node's news lasts at most.
+/// Maximum duration of one wait for updates of another node.
 const UPDATES_WAIT: Duration = Duration::from_millis(1_200);
-/// How long a starting node waits for a node that does not know the table itself yet, as when all
-/// start together: about what reading it at the store takes.
+/// How long a starting node waits for a node that does not know the table yet, as when all nodes
+/// start together: about as long as a read from the store takes.
 const INITIAL_UPDATES_WAIT: Duration = Duration::from_millis(400);
-/// How long connecting to a node may take.
+/// Timeout for connecting to a node.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long a seed may take to answer.
+/// Timeout for the answer of a seed.
 const SEED_TIMEOUT: Duration = Duration::from_millis(600);
-/// How long a node that starts again waits for any seed: two ways to another region and back.
+/// How long a restarting node waits for any seed: two round trips to another region.
 const RESTART_SEED_TIMEOUT: Duration = Duration::from_millis(200);
 
 fn peer_node(endpoint: NodeEndpoint) -> PeerNode {
@@ -36,20 +36,20 @@
     }
 }
 
-/// Why asking another node for a table was of no use.
+/// Why a request for a table to another node failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum PeerFailure {
-    /// It cannot be reached.
+    /// The node cannot be reached.
     Unreachable,
-    /// No whole answer came in time.
+    /// No complete answer arrived in time.
     Unanswered,
-    /// It does not know the table, or is about to end.
+    /// The node does not know the table, or is shutting down.
     NotServed,
-    /// It knows less than this node.
+    /// The node's version of the table is older than this node's.
     Behind,
-    /// What it told is too old.
+    /// The updates are too old.
     Stale,
-    /// What it told would make another table here than it has.
+    /// The updates would give this node a different table than the other node has.
     Diverged,
 }
 
@@ -67,7 +67,7 @@
 }
 
 impl<S: RowSink> Follower<S> {
-    /// Waits for what another node tells; false if it told nothing, or nothing that is fresh.
+    /// Waits for updates of another node and applies them; false if none arrived or they are stale.
     pub(super) async fn ask_peer(&mut self, peer: &PeerNode) -> bool {
         let asked_at = self.context.clock.now();
         let mut received_bytes = 0;
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Takes in what another node tells; counts the bytes that came from it meanwhile.
+    /// Applies the updates of another node, and adds the bytes received to `received_bytes`.
     async fn updates_from_peer(
         &mut self,
         peer: &PeerNode,
@@ -118,7 +118,7 @@
             .updates_from_link(&link, &peer.name, received_bytes)
             .await
         {
-            // All of the table is asked for now.
+            // The version was reset, so this call requests the whole table.
             Err(PeerFailure::Diverged) => {
                 self.updates_from_link(&link, &peer.name, received_bytes)
                     .await
@@ -135,7 +135,7 @@
         received_bytes: &mut u64,
     ) -> Result<(), PeerFailure> {
         let clock = &self.context.clock;
-        // What is known grows stale at this moment: the answer must come before.
+        // The answer must arrive before the known table becomes stale.
         let fresh_for = (self.reported_at + self.timeouts.max_age()).since(clock.now());
         let wait = match self.version {
             Some(_) => UPDATES_WAIT.min(fresh_for),
@@ -182,8 +182,9 @@
         }
     }
 
-    /// The nodes that a starting node asks for the list of nodes, so that not all of a fleet read all
-    /// of it from the store; none if this one is to read it.
+    /// Returns the nodes that a starting node asks for the list of nodes, so that only a few nodes
+    /// of a fleet read the whole list from the store. Empty if this node is to read it from the
+    /// store.
     pub(super) async fn initial_watchers(&self) -> Vec<PeerNode> {
         let settings = &self.context.settings;
         if settings.seeds.contains(&settings.listen.control) {
@@ -202,8 +203,8 @@
         }
     }
 
-    /// Asks one seed after another, which all of a fleet do as it starts: each waits until it has read
-    /// the list.
+    /// Asks one seed after another, in random order, when the whole fleet starts. A seed delays its
+    /// answer until it has read the list.
     async fn ask_seeds_sequentially(&self) -> Option<WatcherAssignment> {
         let mut seeds = self.other_seeds();
         seeds.shuffle(&mut rand::rng());
@@ -216,8 +217,8 @@
         None
     }
 
-    /// Asks all seeds, and takes what one of them knows at once: they may be down, or starting too, and
-    /// a node that has started again must not wait for them.
+    /// Asks all seeds at once and returns the first assignment. Seeds may be down or starting too,
+    /// and a restarting node must not wait for them.
     async fn ask_seeds_concurrently(&self) -> Option<WatcherAssignment> {
         let seeds = self.other_seeds().into_iter();
         let mut asked: FuturesUnordered<_> = seeds
@@ -266,7 +267,7 @@
         others.copied().collect()
     }
 
-    /// Takes the table from a seed, at a start at which the store does not answer.
+    /// Reads the table from a seed if the store does not answer at the start.
     pub(super) async fn ask_seeds(&mut self) {
         for seed in self.other_seeds() {
             if self.ask_seed(seed).await {
--- a/crates/spurpier-pipeline/src/follow/timeouts.rs
+++ b/crates/spurpier-pipeline/src/follow/timeouts.rs
@@ -1,4 +1,4 @@
-//! How long one wait for a table's changes may last, and how old its news may get.
+//! Timeouts for following a table, and the maximum age of its updates.
 
 use std::time::Duration;
 
@@ -7,40 +7,42 @@
 use crate::ports::Table;
 use crate::settings::BoundSettings;
 
-/// How much longer than its wait a call for changes may take until its answer begins to come.
+/// Time beyond its wait that a call for changes may take until its answer starts to arrive.
 pub const CHANGES_SLACK: Duration = Duration::from_millis(600);
-/// The shortest wait: each call is paid for.
+/// Minimum wait for changes; every call to the store has a cost.
 const MIN_WAIT: Duration = Duration::from_millis(600);
-/// Within what a change of the nodes, a succession or a server must be known. Leases of ten seconds
-/// begin with the news of the nodes, and must outlast a store that is away for five or six. A leap
-/// in the news of the servers tells that the store was away, and must be seen before their entries
-/// lapse, which takes three heartbeats.
+/// Time within which a change of the nodes, a succession or a server must be known.
+///
+/// Leases of ten seconds start with the updates of the nodes and must outlast a store outage of
+/// five or six seconds. A gap in the updates of the servers shows a store outage, and must be
+/// noticed before their entries expire, which takes three heartbeats.
 const PROPAGATION_BOUND: Duration = Duration::from_millis(2_400);
-/// How much older than one wait and its slack news may be before they count as stale.
+/// Time beyond one wait and its slack after which updates count as stale.
 const STALE_MARGIN: Duration = Duration::from_millis(100);
-/// News that are so much younger than those before them than one wait explains tell that the store
-/// was away.
+/// Time beyond one wait by which a gap between two updates shows that the store was unavailable.
 const AWAY_MARGIN: Duration = Duration::from_millis(300);
 
-/// The limits in time of following one table.
+/// Timeouts for following one table.
 ///
-/// A connection whose answers are lost stays silent, so that a wait and its slack together bound how
-/// late a change is taken in. A longer wait costs fewer calls.
+/// A connection that loses answers stays silent, so the wait and its slack together bound the delay
+/// until a change is applied. A longer wait needs fewer calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FollowTimeouts {
-    /// How long one wait for changes lasts at most.
+    /// Maximum duration of one wait for changes.
     pub wait: Duration,
-    /// Within what a change must be known.
+    /// Time within which a change must be known.
     propagation_bound: Duration,
 }
 
 impl FollowTimeouts {
-    /// The limits of a table: a configuration is known within four fifths of the time within which
-    /// it must be in force. Evacuations stand beside it: where a bound was agreed for them, they are
-    /// known before the evacuated zone is closed, also if an answer is lost. A change that is told
-    /// ends the wait at once, so that a longer one takes nothing from the replacement of primaries.
-    /// Known within half of a bound of 5 s, all nodes made 3,249 calls to the store on a day with
-    /// lost history; known within 3.5 s they made 2,639 (one play each, 87 nodes).
+    /// Returns the timeouts of a table.
+    ///
+    /// A configuration is known within four fifths of the time within which it must be in effect.
+    /// Evacuations are in the same table: where a bound was agreed for them, they are known before
+    /// the evacuated zone is closed, even if an answer is lost. A reported change ends the wait at
+    /// once, so a longer wait does not delay the replacement of primaries, and it saves calls: on a
+    /// day with lost history, 87 nodes made 3,249 calls to the store if changes had to be known
+    /// within 2.5 s (half of a bound of 5 s), and 2,639 within 3.5 s (one run each).
     pub fn of(table: Table, bounds: &BoundSettings) -> Self {
         let propagation_bound = match table {
             Table::Configuration => {
@@ -59,19 +61,20 @@
         }
     }
 
-    /// How much longer than its wait a call for another node's news may take, if that node shows
-    /// that it runs: it tells much to a few nodes at a time, and others are to be asked while
-    /// there is time.
+    /// Time beyond its wait that a call for another node's updates may take while that node shows
+    /// progress. A node sends large updates to only a few nodes at a time, and enough time must
+    /// remain to ask other nodes.
     pub fn peer_response_timeout(self) -> Duration {
         self.propagation_bound / 2
     }
 
-    /// The age from which on what another node tells is too old: as old as the store's own news get.
+    /// Age from which updates of another node are stale: the maximum age of the store's own
+    /// updates.
     pub fn max_age(self) -> Duration {
         self.wait + CHANGES_SLACK + STALE_MARGIN
     }
 
-    /// News that are so much younger than those before tell that the store was away.
+    /// Gap between two updates above which the store must have been unavailable.
     pub fn outage_threshold(self) -> Duration {
         self.wait + AWAY_MARGIN
     }
--- a/crates/spurpier-pipeline/tests/fleet_spread.rs
+++ b/crates/spurpier-pipeline/tests/fleet_spread.rs
@@ -1,4 +1,4 @@
-//! What the spread of the store's tables costs at growing sizes of the fleet.
+//! Cost of distributing the store's tables at growing fleet sizes.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,9 +19,10 @@
 
 const ZONES: usize = 6;
 const SIZES: [usize; 4] = [300, 1_000, 2_000, 6_100];
-/// What one watcher may have to tell: 200 KB of servers each are 2 s of a link of 20 Mbit/s for 25.
+/// Maximum followers of one watcher. Sending 200 KB of servers to each of 25 followers takes 2 s of
+/// a 20 Mbit/s link.
 const MAX_FOLLOWERS: usize = 64;
-/// The wait of a starting fleet for its list, in seconds, and what a shard takes in a second.
+/// How long a starting fleet waits for its list of nodes, and the writes that a shard accepts.
 const LISTED_WITHIN_S: usize = 3;
 const SHARD_WRITES_PER_S: usize = 200;
 
@@ -78,23 +79,30 @@
 }
 
 #[test]
-fn a_watcher_has_as_many_followers_whatever_the_size_of_the_fleet() {
+fn followers_per_watcher_are_bounded_at_every_fleet_size() {
     for size in SIZES {
         let homes = Homes::new(&settings());
         homes.replace(fleet(size), StoreEra::UNREPORTED, Timestamp::ZERO);
         let mut followers: BTreeMap<String, usize> = BTreeMap::new();
         let mut watchers = 0;
         for number in 0..size {
-            let peer_row = homes.watchers_for(&name(number), &zone(number));
-            let peer_row = peer_row.expect("the list is known");
-            if peer_row.is_watcher {
+            let assignment = homes.watchers_for(&name(number), &zone(number));
+            let assignment = assignment.expect("the list is known");
+            if assignment.is_watcher {
                 watchers += 1;
                 continue;
             }
-            assert!(peer_row.nodes.0.len() <= 8, "what a seed tells is bounded");
-            assert_eq!(peer_row.nodes.0[0].zone, zone(number), "the own zone first");
+            assert!(
+                assignment.nodes.0.len() <= 8,
+                "the answer of a seed is bounded"
+            );
+            assert_eq!(
+                assignment.nodes.0[0].zone,
+                zone(number),
+                "the own zone first"
+            );
             *followers
-                .entry(peer_row.nodes.0[0].name.clone())
+                .entry(assignment.nodes.0[0].name.clone())
                 .or_default() += 1;
         }
         let most = followers.values().max().copied().unwrap_or_default();
@@ -107,7 +115,7 @@
 }
 
 #[test]
-fn a_fleet_lists_itself_within_its_wait() {
+fn all_nodes_of_a_fleet_are_listed_in_time() {
     for size in SIZES {
         let mut writes: BTreeMap<Shard, usize> = BTreeMap::new();
         for number in 0..size {
@@ -123,7 +131,7 @@
 }
 
 #[test]
-fn no_row_of_the_nodes_stands_among_the_operators() {
+fn node_rows_are_not_in_the_platform_shard() {
     for table in [Table::Cluster, Table::Duty] {
         assert!(!Shard::all(table).contains(&Shard::Platform));
     }
@@ -134,7 +142,7 @@
 }
 
 #[test]
-fn the_entry_of_the_dutys_holder_names_no_more_groups_than_others() {
+fn promotion_lease_holder_has_an_entry_of_the_same_size() {
     let scope = |is_all| LeaseScope {
         groups: (0..20).map(|number| format!("group-{number}")).collect(),
         is_all,
@@ -151,7 +159,7 @@
     assert_eq!(size(holder), size(other));
 }
 
-/// Reads what [`Entries`] was made with, whatever the row.
+/// An entry format that returns the same result for every row.
 struct Entries(Result<ServerEntry, UnusableEntry>);
 
 impl EntryFormat for Entries {
@@ -207,7 +215,7 @@
 
 proptest! {
     #[test]
-    fn nodes_tell_servers_as_the_store_does_in_a_third_of_the_bytes(entry in server()) {
+    fn peer_rows_keep_server_entries_in_a_third_of_the_bytes(entry in server()) {
         let read = Ok(entry);
         let row = peer_row(&read);
         prop_assert_eq!(row.version, StoreVersion::from_bits(9));
@@ -216,14 +224,14 @@
     }
 
     #[test]
-    fn no_bytes_upset_the_decoder_of_told_rows(value in prop::collection::vec(any::<u8>(), 0..80)) {
+    fn decoder_of_peer_rows_never_panics(value in prop::collection::vec(any::<u8>(), 0..80)) {
         let row = Row { key: "i-1".to_owned(), value: value.into(), version: StoreVersion::from_bits(1), gone: false };
         let _ = server_rows::read(&row);
     }
 }
 
 #[test]
-fn nodes_tell_why_a_row_names_no_server() {
+fn peer_rows_keep_the_reason_why_an_entry_is_unusable() {
     let reasons = [
         UnusableEntry::Unreadable,
         UnusableEntry::UnknownState,
--- a/crates/spurpier-pipeline/tests/table_eras.rs
+++ b/crates/spurpier-pipeline/tests/table_eras.rs
@@ -1,5 +1,6 @@
-//! A table that a store tells to watchers and these to a follower, through returns from older
-//! copies: a state machine against an oracle that holds the store's rows.
+//! Guards against rows that are hidden or kept by mistake when the store is restored from an older
+//! backup. Watchers follow the store and a follower follows the watchers; random steps are compared
+//! with an oracle that holds the store's rows.
 
 #[path = "../../spurpier-core/tests/proof/mod.rs"]
 mod proof;
@@ -19,24 +20,24 @@
 const TABLE: Table = Table::Servers;
 const KEYS: u8 = 4;
 const WATCHERS: usize = 2;
-/// Questions after which a node knows all, if nothing changes: one that finds its position gone, one
+/// Calls after which a node is up to date if nothing changes: one that finds its history gone, one
 /// that finds the era changed, a whole read and one for changes.
 const SETTLED_AFTER: usize = 4;
 
-/// What the store holds: a value under each key, none if the row was removed.
+/// The store's rows by key: a value, none if the row was removed, and the version of the change.
 #[derive(Debug, Clone, Default)]
 struct Content {
     rows: BTreeMap<u8, (Option<u8>, u64)>,
     version: u64,
 }
 
-/// The store, and the copy from which it may come back.
+/// The store, and the backup from which it may be restored.
 #[derive(Debug, Clone)]
 struct Store {
     content: Content,
     backup: Content,
     era: u64,
-    /// Changes up to this version cannot be told any more.
+    /// Changes up to this version are no longer available.
     forgotten: u64,
 }
 
@@ -104,7 +105,7 @@
         }
     }
 
-    /// The rows as a node that knows all knows them.
+    /// Returns the rows that an up-to-date node knows.
     fn expected(&self) -> BTreeMap<String, Vec<u8>> {
         let rows = self.content.rows.iter();
         rows.filter_map(|(key, (value, _))| Some((key.to_string(), vec![(*value)?])))
@@ -112,7 +113,7 @@
     }
 }
 
-/// What the store answers; it may come late.
+/// An answer of the store, which may arrive late.
 #[derive(Debug, Clone)]
 enum Answer {
     Whole {
@@ -132,7 +133,7 @@
     known: KnownTables,
     position: Option<StoreVersion>,
     era: StoreEra,
-    /// An answer that is on its way.
+    /// An answer that has not arrived yet.
     pending: Option<Answer>,
 }
 
@@ -190,7 +191,7 @@
         self.position = self.position.max(Some(version));
     }
 
-    /// Takes in what another node tells, unless that knows less.
+    /// Applies the updates of another node unless its version is older.
     fn ask_node(&mut self, other: &FollowingNode) {
         let number = table_number(TABLE).expect("it is followed");
         let now = Timestamp::ZERO;
@@ -221,9 +222,9 @@
     Backup,
     Restore,
     ForgetHistory,
-    /// A watcher sends a question, which is answered at once.
+    /// A watcher calls the store, which answers at once.
     Ask(usize),
-    /// The answer arrives.
+    /// The store's answer arrives at the watcher.
     Receive(usize),
     /// The follower asks a watcher.
     Follow(usize),
@@ -272,7 +273,7 @@
 }
 
 impl Nodes {
-    /// Lets all that is on its way arrive, and all nodes ask until they know all.
+    /// Delivers all pending answers, and lets all nodes ask until they are up to date.
     fn settle(&mut self, store: &Store) {
         for watcher in &mut self.watchers {
             watcher.receive();
@@ -305,7 +306,10 @@
                 let node = &mut nodes.watchers[watcher];
                 let before = node.known.version(TABLE);
                 node.receive();
-                assert!(node.known.version(TABLE) >= before, "it went back");
+                assert!(
+                    node.known.version(TABLE) >= before,
+                    "the known version went back"
+                );
             }
             Step::Follow(watcher) => nodes.follower.ask_node(&nodes.watchers[watcher]),
             Step::Write(..)
@@ -331,13 +335,13 @@
     #![proptest_config(config(cases(DEFAULT_CASES)))]
 
     #[test]
-    fn no_change_is_hidden_and_no_lost_row_stays_when_the_store_comes_back(
+    fn restored_store_hides_no_change_and_keeps_no_lost_row(
         sequential 1..60 => Nodes
     );
 }
 
 #[test]
-fn a_node_that_knows_a_former_era_is_told_the_whole_table() {
+fn node_with_an_older_era_receives_the_whole_table() {
     let mut store = Store::new();
     store.write(0, Some(1));
     store.write(1, Some(1));
@@ -357,6 +361,6 @@
         watcher.ask(&store);
         watcher.receive();
     }
-    let told = updates(&watcher);
-    assert!(told.whole && told.rows.0.len() == 2, "{told:?}");
+    let received = updates(&watcher);
+    assert!(received.whole && received.rows.0.len() == 2, "{received:?}");
 }
