--- a/crates/spurpier-pipeline/src/configuration/check.rs
+++ b/crates/spurpier-pipeline/src/configuration/check.rs
@@ -1,31 +1,31 @@
-//! What must hold of a configuration before it is put into force.
+//! Validation of the tenants of a configuration before it takes effect.
 
 use std::collections::HashSet;
 use std::fmt;
 
 use crate::ports::{Configuration, KeyDigest, Quota, Tenant};
 
-/// What is wrong with a tenant.
+/// A reason why a tenant is invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TenantFault {
     /// It has no name.
     NoName,
-    /// Its name holds a blank, which the wire to servers cannot carry.
-    BlankInName,
-    /// Another tenant has its name.
-    SameName,
-    /// The key at this place belongs to another tenant too.
+    /// Its name contains whitespace, which the protocol to servers cannot carry.
+    WhitespaceInName,
+    /// An earlier tenant has the same name.
+    DuplicateName,
+    /// The key at this index also belongs to an earlier tenant.
     SharedKey(usize),
-    /// Its rate or its burst is negative or no number.
+    /// Its rate or burst is negative, infinite or not a number.
     NegativeQuota,
 }
 
-/// A fault and the tenant's place in the list, from 0.
+/// A fault of one tenant of a configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TenantFinding {
-    /// The tenant's place.
+    /// Zero-based index of the tenant in the configuration.
     pub tenant: usize,
-    /// What is wrong.
+    /// Why the tenant is invalid.
     pub fault: TenantFault,
 }
 
@@ -34,17 +34,17 @@
         write!(formatter, "tenants[{}]: ", self.tenant)?;
         match self.fault {
             TenantFault::NoName => formatter.write_str("has no name"),
-            TenantFault::BlankInName => formatter.write_str("has a blank in its name"),
-            TenantFault::SameName => formatter.write_str("has the name of another one"),
-            TenantFault::SharedKey(place) => {
-                write!(formatter, "key {place} belongs to another one too")
+            TenantFault::WhitespaceInName => formatter.write_str("has a blank in its name"),
+            TenantFault::DuplicateName => formatter.write_str("has the name of another one"),
+            TenantFault::SharedKey(index) => {
+                write!(formatter, "key {index} belongs to another one too")
             }
             TenantFault::NegativeQuota => formatter.write_str("has a negative rate or burst"),
         }
     }
 }
 
-/// All findings on a configuration's tenants, in their order.
+/// Returns all faults of a configuration's tenants, in the order of the tenants.
 pub fn check_tenants(configuration: &Configuration) -> Vec<TenantFinding> {
     let mut names = HashSet::new();
     let mut keys: HashSet<&KeyDigest> = HashSet::new();
@@ -52,12 +52,12 @@
     for (index, tenant) in configuration.tenants.iter().flatten().enumerate() {
         let mut faults = name_faults(tenant);
         if !names.insert(tenant.name.as_str()) {
-            faults.push(TenantFault::SameName);
+            faults.push(TenantFault::DuplicateName);
         }
         let own: HashSet<_> = tenant.keys.iter().collect();
         let shared = tenant.keys.iter().enumerate();
         let shared = shared.filter(|(_, key)| keys.contains(*key));
-        faults.extend(shared.map(|(place, _)| TenantFault::SharedKey(place)));
+        faults.extend(shared.map(|(index, _)| TenantFault::SharedKey(index)));
         keys.extend(own);
         if tenant.quota.is_some_and(is_negative) {
             faults.push(TenantFault::NegativeQuota);
@@ -75,7 +75,7 @@
     if tenant.name.is_empty() {
         vec![TenantFault::NoName]
     } else if tenant.name.contains(char::is_whitespace) {
-        vec![TenantFault::BlankInName]
+        vec![TenantFault::WhitespaceInName]
     } else {
         Vec::new()
     }
--- a/crates/spurpier-pipeline/src/configuration/mod.rs
+++ b/crates/spurpier-pipeline/src/configuration/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration in force on this node; it only ever moves to a newer version.
+//! The configuration in effect on this node. Its version never decreases.
 
 mod check;
 mod regions;
@@ -22,42 +22,42 @@
 use crate::quota::TenantQuota;
 use crate::tenant::{AdmissionError, Caller};
 
-/// How many findings one log line names; thousands of routes may name the same region.
-const MOST_TOLD: usize = 20;
+/// Maximum number of findings in one log line; thousands of routes may name the same region.
+const MAX_LOGGED_FINDINGS: usize = 20;
 
-/// How a client's statements are served.
+/// A client that may use a database, with the terms of its access.
 #[derive(Debug, Clone)]
-pub struct Admitted {
-    /// The route of its database.
+pub struct AdmittedClient {
+    /// The route of the database.
     pub route: Arc<Route>,
-    /// Whom its statements are run for.
+    /// The tenant and key on whose behalf statements run.
     pub caller: Caller,
-    /// Where they may run: where both the route and the tenant allow it.
+    /// The regions in which statements may run: those that both the route and the tenant allow.
     pub allowed_regions: AllowedRegions,
 }
 
-/// What holds for a tenant.
+/// The name and the allowed regions of a tenant, looked up by its keys.
 #[derive(Debug)]
-struct KnownTenant {
+struct TenantAccess {
     name: Arc<str>,
     allowed_regions: AllowedRegions,
 }
 
-/// A configuration, indexed.
+/// A configuration with indexes by database, group, key and tenant.
 #[derive(Debug)]
-pub struct InForce {
-    /// The configuration.
+pub struct IndexedConfiguration {
+    /// The configuration that the indexes are built from.
     pub configuration: Configuration,
     routes: HashMap<String, Arc<Route>>,
     groups: HashMap<String, GroupSettings>,
-    /// The holders of keys; none if clients are not told apart.
-    holders: Option<HashMap<KeyDigest, Arc<KnownTenant>>>,
-    /// How much tenants may ask for, by their names.
+    /// The tenant that holds each key; none if clients are not identified as tenants.
+    holders: Option<HashMap<KeyDigest, Arc<TenantAccess>>>,
+    /// The quotas of tenants by name.
     quotas: HashMap<String, Quota>,
 }
 
-impl InForce {
-    /// Indexes a configuration; of two routes for one database, the first one holds.
+impl IndexedConfiguration {
+    /// Indexes a configuration; of two routes for one database, the first one applies.
     pub fn new(configuration: Configuration) -> Self {
         let mut routes = HashMap::new();
         for route in &configuration.routes {
@@ -70,7 +70,7 @@
         let quotas = tenants.filter_map(|tenant| Some((tenant.name.clone(), tenant.quota?)));
         let quotas = quotas.collect();
         let holders = configuration.tenants.as_deref().map(key_holders);
-        InForce {
+        IndexedConfiguration {
             groups: groups.collect(),
             holders,
             quotas,
@@ -79,26 +79,28 @@
         }
     }
 
-    /// The route of a database.
+    /// Returns the route of a database.
     pub fn route(&self, database: &str) -> Option<Arc<Route>> {
         self.routes.get(database).map(Arc::clone)
     }
 
-    /// How a client's statements in a database are served.
+    /// Admits a client to a database. It needs the key of a tenant if clients are identified as
+    /// tenants and the route is not public.
     ///
     /// # Errors
     ///
-    /// [`AdmissionError`] if the client is not served there.
+    /// Returns an [`AdmissionError`] if the database has no route, or if a key of a tenant is
+    /// needed and no tenant holds the client's key.
     pub fn admit(
         &self,
         database: &str,
         key: Option<KeyDigest>,
-    ) -> Result<Admitted, AdmissionError> {
+    ) -> Result<AdmittedClient, AdmissionError> {
         let route = self
             .route(database)
             .ok_or(AdmissionError::UnknownDatabase)?;
         let Some(holders) = self.holders.as_ref().filter(|_| !route.is_public) else {
-            return Ok(Admitted {
+            return Ok(AdmittedClient {
                 allowed_regions: route.allowed_regions.clone(),
                 caller: Caller::unnamed(key),
                 route,
@@ -107,51 +109,51 @@
         let holder = key.and_then(|key| holders.get(&key));
         let holder = holder.ok_or(AdmissionError::UnknownKey)?;
         let tenant = Some(Arc::clone(&holder.name));
-        Ok(Admitted {
+        Ok(AdmittedClient {
             allowed_regions: route.allowed_regions.intersection(&holder.allowed_regions),
             caller: Caller { tenant, key },
             route,
         })
     }
 
-    /// How much a tenant may ask for; none if that is not bounded.
+    /// Returns the quota of a tenant; none if it is not limited.
     pub fn quota(&self, tenant: &str) -> Option<TenantQuota> {
         let quota = self.quotas.get(tenant).copied()?;
         let version = self.configuration.version;
         Some(TenantQuota { quota, version })
     }
 
-    /// Whether clients are told apart by the tenants that hold their keys.
+    /// Whether clients are identified as tenants by their keys.
     pub fn has_tenants(&self) -> bool {
         self.holders.is_some()
     }
 
-    /// Whether the operations of any tenant are bounded.
+    /// Whether any tenant has a quota.
     pub fn has_quotas(&self) -> bool {
         !self.quotas.is_empty()
     }
 
-    /// Requests a second to a server of a group while it is cold; none if that is not bounded.
+    /// Returns the maximum requests per second to a cold server of a group; none if not limited.
     pub fn cold_per_second(&self, group: &str) -> Option<f64> {
         self.groups.get(group)?.cold_per_second
     }
 
-    /// Whether the requests to cold servers of any group are bounded.
+    /// Whether any group limits the requests to its cold servers.
     pub fn has_cold_rates(&self) -> bool {
         let mut groups = self.groups.values();
         groups.any(|group| group.cold_per_second.is_some())
     }
 
-    /// The connections that each server of a group takes; none if the group is not known.
+    /// Returns the connection limit of each server of a group; none if the group is not known.
     pub fn connections(&self, group: &str) -> Option<usize> {
         self.groups.get(group).map(|group| group.connections)
     }
 }
 
-fn key_holders(tenants: &[Tenant]) -> HashMap<KeyDigest, Arc<KnownTenant>> {
+fn key_holders(tenants: &[Tenant]) -> HashMap<KeyDigest, Arc<TenantAccess>> {
     let mut holders = HashMap::new();
     for tenant in tenants {
-        let holder = Arc::new(KnownTenant {
+        let holder = Arc::new(TenantAccess {
             name: Arc::from(tenant.name.as_str()),
             allowed_regions: tenant.allowed_regions.clone(),
         });
@@ -161,12 +163,12 @@
     holders
 }
 
-/// Puts each newer configuration into force.
+/// Applies each newer configuration and the evacuations of zones.
 pub struct ConfigurationSink(pub Arc<Context>);
 
 impl ConfigurationSink {
-    /// Takes in what is known; evacuations first, so that a node which becomes ready knows them.
-    fn put_known_into_force(&self) {
+    /// Applies the known rows: evacuations first, so that a node knows them when it becomes ready.
+    fn apply_known(&self) {
         let known = &self.0.known_tables;
         let rows = known.rows(Table::Configuration);
         let (evacuated, rows) = rows
@@ -177,7 +179,7 @@
             known.version(Table::Configuration),
             known.told_before(Table::Configuration),
         );
-        self.look_again_at_held();
+        self.schedule_hold_expiry();
         if rows.is_empty() {
             return;
         }
@@ -192,50 +194,51 @@
 }
 
 impl ConfigurationSink {
-    /// Has zones taken back whose rows the store has lost, if the operator has not written them again
-    /// in time.
-    fn look_again_at_held(&self) {
+    /// Schedules the end of evacuations whose rows the store has lost: they end unless the operator
+    /// writes them again in time.
+    fn schedule_hold_expiry(&self) {
         let Some(held_until) = self.0.places.evacuations.held_until() else {
             return;
         };
         let context = Arc::clone(&self.0);
         tokio::spawn(async move {
             tokio::time::sleep_until(context.clock.instant(held_until)).await;
-            ConfigurationSink(context).put_known_into_force();
+            ConfigurationSink(context).apply_known();
         });
     }
 }
 
 impl RowSink for ConfigurationSink {
     fn replace(&mut self, _rows: &[Row], _version: StoreVersion) {
-        self.put_known_into_force();
+        self.apply_known();
     }
 
     fn change(&mut self, _rows: &[Row]) {
-        self.put_known_into_force();
+        self.apply_known();
     }
 
     fn derives_rows(&self) -> bool {
         true
     }
 
-    /// The operator writes the newest configuration again after the store's return; until then the
-    /// store, and nodes that start meanwhile, tell an older one.
-    fn newest(&self, told: Vec<Row>) -> Vec<Row> {
+    /// Keeps the known configuration if it is newer than the reported one. After the store was
+    /// restored from an older copy, it and nodes that start meanwhile report an older configuration
+    /// until the operator writes the newest one again.
+    fn newest(&self, reported: Vec<Row>) -> Vec<Row> {
         let known = self.0.known_tables.rows(Table::Configuration);
-        if rows::document_version(&told) >= rows::document_version(&known) {
-            return told;
+        if rows::document_version(&reported) >= rows::document_version(&known) {
+            return reported;
         }
-        let evacuated = told.into_iter().filter(rows::is_evacuated);
+        let evacuated = reported.into_iter().filter(rows::is_evacuated);
         let settings = known.into_iter().filter(|row| !rows::is_evacuated(row));
         let mut newest: Vec<Row> = evacuated.chain(settings).collect();
         newest.sort_by(|one, other| one.key.cmp(&other.key));
         newest
     }
 
-    /// The store's row of the configuration tells all of it; evacuations are told one by one.
-    fn whole_table(&self, told: &[Row], is_whole: bool) -> Option<Vec<Row>> {
-        if told.is_empty() && !is_whole {
+    /// The store reports the configuration as one row, and each evacuation as a row of its own.
+    fn peer_table(&self, stored: &[Row], is_whole: bool) -> Option<Vec<Row>> {
+        if stored.is_empty() && !is_whole {
             return None;
         }
         let known = self.0.known_tables.rows(Table::Configuration);
@@ -244,18 +247,18 @@
             .partition::<Vec<Row>, _>(rows::is_evacuated);
         let entries = &self.0.entries;
         let zone_of = |row: &Row| entries.evacuated_zone(row);
-        let mut rows = rows::evacuated_rows(told, is_whole, &evacuated, zone_of);
-        rows.extend(self.configuration_rows(told, known));
+        let mut rows = rows::evacuated_rows(stored, is_whole, &evacuated, zone_of);
+        rows.extend(self.configuration_rows(stored, known));
         rows.sort_by(|one, other| one.key.cmp(&other.key));
         Some(rows)
     }
 }
 
 impl ConfigurationSink {
-    /// The rows of the configuration after the store has told of its rows; one that cannot be read
-    /// or has faults tells nothing new.
-    fn configuration_rows(&self, told: &[Row], known: Vec<Row>) -> Vec<Row> {
-        let Some((configuration, version)) = self.told_configuration(told) else {
+    /// Returns the rows of the configuration after an answer of the store. A stored configuration
+    /// that cannot be decoded or has faults is ignored, and the known rows are returned.
+    fn configuration_rows(&self, stored: &[Row], known: Vec<Row>) -> Vec<Row> {
+        let Some((configuration, version)) = self.stored_configuration(stored) else {
             return known;
         };
         let findings = check::check_tenants(&configuration);
@@ -269,11 +272,11 @@
         rows::split(&configuration, version, &known)
     }
 
-    /// The configuration among rows that the store has told, and its row's version; rows of other
-    /// kinds may stand beside it.
-    fn told_configuration(&self, told: &[Row]) -> Option<(Configuration, StoreVersion)> {
+    /// Returns the latest readable configuration among rows of the store, and the version of its
+    /// row. Rows of evacuated zones are skipped.
+    fn stored_configuration(&self, stored: &[Row]) -> Option<(Configuration, StoreVersion)> {
         let entries = &self.0.entries;
-        let others = told
+        let others = stored
             .iter()
             .rev()
             .filter(|row| !row.gone && entries.evacuated_zone(row).is_none());
@@ -287,7 +290,7 @@
     }
 }
 
-/// What names a configuration's faults holds no key.
+/// Logs why a configuration was refused. The findings contain no keys of clients.
 fn log_refused(version: u64, findings: &[TenantFinding]) {
     let findings: Vec<String> = findings.iter().map(ToString::to_string).collect();
     log_event!(
@@ -301,7 +304,10 @@
     if unknown.is_empty() {
         return;
     }
-    let named = unknown.iter().take(MOST_TOLD).map(ToString::to_string);
+    let named = unknown
+        .iter()
+        .take(MAX_LOGGED_FINDINGS)
+        .map(ToString::to_string);
     let named: Vec<String> = named.collect();
     log_event!(
         events::REGIONS_UNKNOWN,
@@ -315,7 +321,7 @@
     log_event!(events::ROW_MALFORMED, table = "configuration", key = key);
 }
 
-/// Puts a configuration into force if it is newer than the one that is.
+/// Puts a configuration into effect if it is newer than the current one.
 fn put_into_force(context: &Context, configuration: Configuration) {
     let version = configuration.version;
     for group in &configuration.groups {
@@ -325,7 +331,7 @@
             .set_synchronous_replicas(replicas);
     }
     let unknown = unknown_regions(&configuration, &context.places.known_regions());
-    let newer = Arc::new(InForce::new(configuration));
+    let newer = Arc::new(IndexedConfiguration::new(configuration));
     let changed = context.configuration.send_if_modified(|current| {
         let known = current.as_ref().map(|known| known.configuration.version);
         if known.is_some_and(|known| known >= version) {
--- a/crates/spurpier-pipeline/src/directory/mod.rs
+++ b/crates/spurpier-pipeline/src/directory/mod.rs
@@ -415,7 +415,7 @@
 pub struct ServerSink(pub Arc<Directory>);
 
 impl RowSink for ServerSink {
-    fn told_form(&self, rows: Vec<Row>) -> Vec<Row> {
+    fn peer_rows(&self, rows: Vec<Row>) -> Vec<Row> {
         let entries = &self.0.context.entries;
         let reported = rows.into_iter();
         reported
--- a/crates/spurpier-pipeline/tests/table_eras.rs
+++ b/crates/spurpier-pipeline/tests/table_eras.rs
@@ -1,5 +1,6 @@
-//! A table that a store tells to watchers and these to a follower, through returns from older
-//! copies: a state machine against an oracle that holds the store's rows.
+//! Guards against rows that are hidden or kept by mistake when the store is restored from an older
+//! backup. Watchers follow the store and a follower follows the watchers; random steps are compared
+//! with an oracle that holds the store's rows.
 
 #[path = "../../spurpier-core/tests/proof/mod.rs"]
 mod proof;
@@ -19,24 +20,24 @@
 const TABLE: Table = Table::Servers;
 const KEYS: u8 = 4;
 const WATCHERS: usize = 2;
-/// Questions after which a node knows all, if nothing changes: one that finds its position gone, one
+/// Calls after which a node is up to date if nothing changes: one that finds its history gone, one
 /// that finds the era changed, a whole read and one for changes.
 const SETTLED_AFTER: usize = 4;
 
-/// What the store holds: a value under each key, none if the row was removed.
+/// The store's rows by key: a value, none if the row was removed, and the version of the change.
 #[derive(Debug, Clone, Default)]
 struct Content {
     rows: BTreeMap<u8, (Option<u8>, u64)>,
     version: u64,
 }
 
-/// The store, and the copy from which it may come back.
+/// The store, and the backup from which it may be restored.
 #[derive(Debug, Clone)]
 struct Store {
     content: Content,
-    copy: Content,
+    backup: Content,
     era: u64,
-    /// Changes up to this version cannot be told any more.
+    /// Changes up to this version are no longer available.
     forgotten: u64,
 }
 
@@ -44,7 +45,7 @@
     fn new() -> Self {
         Store {
             content: Content::default(),
-            copy: Content::default(),
+            backup: Content::default(),
             era: 1,
             forgotten: 0,
         }
@@ -56,8 +57,8 @@
         self.content.rows.insert(key, (value, version));
     }
 
-    fn come_back(&mut self) {
-        self.content = self.copy.clone();
+    fn restore(&mut self) {
+        self.content = self.backup.clone();
         self.era += 1;
         self.forgotten = 0;
     }
@@ -104,7 +105,7 @@
         }
     }
 
-    /// The rows as a node that knows all knows them.
+    /// Returns the rows that an up-to-date node knows.
     fn expected(&self) -> BTreeMap<String, Vec<u8>> {
         let rows = self.content.rows.iter();
         rows.filter_map(|(key, (value, _))| Some((key.to_string(), vec![(*value)?])))
@@ -112,7 +113,7 @@
     }
 }
 
-/// What the store answers; it may come late.
+/// An answer of the store, which may arrive late.
 #[derive(Debug, Clone)]
 enum Answer {
     Whole {
@@ -132,7 +133,7 @@
     known: KnownTables,
     position: Option<StoreVersion>,
     era: StoreEra,
-    /// An answer that is on its way.
+    /// An answer that has not arrived yet.
     pending: Option<Answer>,
 }
 
@@ -153,14 +154,14 @@
         });
     }
 
-    fn hear(&mut self) {
+    fn receive(&mut self) {
         match self.pending.take() {
             None => {}
             Some(Answer::HistoryGone) => self.position = None,
             Some(Answer::Whole { rows, version }) => {
                 self.era = self.era.max(version.era());
                 if version.era() == self.era {
-                    self.take_all(&rows, version);
+                    self.replace_all(&rows, version);
                 }
             }
             Some(Answer::Changes {
@@ -170,7 +171,7 @@
             }) => {
                 self.era = self.era.max(version.era());
                 match continuity(after, version, self.era) {
-                    Continuity::Complete => self.take_changes(&rows, version),
+                    Continuity::Complete => self.apply_changes(&rows, version),
                     Continuity::EraChanged => self.position = None,
                     Continuity::StaleEra => {}
                 }
@@ -178,33 +179,33 @@
         }
     }
 
-    fn take_all(&mut self, rows: &[Row], version: StoreVersion) {
+    fn replace_all(&mut self, rows: &[Row], version: StoreVersion) {
         let compared = Compared::ByVersion;
         self.known
             .replace(TABLE, rows, version, Timestamp::ZERO, compared);
         self.position = self.position.max(Some(version));
     }
 
-    fn take_changes(&mut self, rows: &[Row], version: StoreVersion) {
+    fn apply_changes(&mut self, rows: &[Row], version: StoreVersion) {
         self.known.change(TABLE, rows, version, Timestamp::ZERO);
         self.position = self.position.max(Some(version));
     }
 
-    /// Takes in what another node tells, unless that knows less.
+    /// Applies the updates of another node unless its version is older.
     fn ask_node(&mut self, other: &FollowingNode) {
         let number = table_number(TABLE).expect("it is followed");
         let now = Timestamp::ZERO;
-        let Some(news) = other.known.news(number, self.position, now, now) else {
+        let Some(updates) = other.known.news(number, self.position, now, now) else {
             return;
         };
-        if news.version < self.known.version(TABLE) {
+        if updates.version < self.known.version(TABLE) {
             return;
         }
-        let rows: Vec<Row> = news.rows.0.into_iter().map(|row| row.0).collect();
-        if news.whole {
-            self.take_all(&rows, news.version);
+        let rows: Vec<Row> = updates.rows.0.into_iter().map(|row| row.0).collect();
+        if updates.whole {
+            self.replace_all(&rows, updates.version);
         } else {
-            self.take_changes(&rows, news.version);
+            self.apply_changes(&rows, updates.version);
         }
     }
 
@@ -218,13 +219,13 @@
 enum Step {
     Write(u8, u8),
     Remove(u8),
-    TakeCopy,
-    ComeBack,
+    Backup,
+    Restore,
     ForgetHistory,
-    /// A watcher sends a question, which is answered at once.
+    /// A watcher calls the store, which answers at once.
     Ask(usize),
-    /// The answer arrives.
-    Hear(usize),
+    /// The store's answer arrives at the watcher.
+    Receive(usize),
     /// The follower asks a watcher.
     Follow(usize),
 }
@@ -243,11 +244,11 @@
         prop_oneof![
             6 => (0..KEYS, any::<u8>()).prop_map(|(key, value)| Step::Write(key, value)),
             3 => (0..KEYS).prop_map(Step::Remove),
-            1 => Just(Step::TakeCopy),
-            1 => Just(Step::ComeBack),
+            1 => Just(Step::Backup),
+            1 => Just(Step::Restore),
             1 => Just(Step::ForgetHistory),
             4 => (0..WATCHERS).prop_map(Step::Ask),
-            4 => (0..WATCHERS).prop_map(Step::Hear),
+            4 => (0..WATCHERS).prop_map(Step::Receive),
             3 => (0..WATCHERS).prop_map(Step::Follow),
         ]
         .boxed()
@@ -257,10 +258,10 @@
         match *step {
             Step::Write(key, value) => store.write(key, Some(value)),
             Step::Remove(key) => store.write(key, None),
-            Step::TakeCopy => store.copy = store.content.clone(),
-            Step::ComeBack => store.come_back(),
+            Step::Backup => store.backup = store.content.clone(),
+            Step::Restore => store.restore(),
             Step::ForgetHistory => store.forgotten = store.content.version,
-            Step::Ask(_) | Step::Hear(_) | Step::Follow(_) => {}
+            Step::Ask(_) | Step::Receive(_) | Step::Follow(_) => {}
         }
         store
     }
@@ -272,13 +273,13 @@
 }
 
 impl Nodes {
-    /// Lets all that is on its way arrive, and all nodes ask until they know all.
+    /// Delivers all pending answers, and lets all nodes ask until they are up to date.
     fn settle(&mut self, store: &Store) {
         for watcher in &mut self.watchers {
-            watcher.hear();
+            watcher.receive();
             for _ in 0..SETTLED_AFTER {
                 watcher.ask(store);
-                watcher.hear();
+                watcher.receive();
             }
         }
         for watcher in &self.watchers {
@@ -301,17 +302,20 @@
     fn apply(mut nodes: Nodes, store: &Store, step: Step) -> Nodes {
         match step {
             Step::Ask(watcher) => nodes.watchers[watcher].ask(store),
-            Step::Hear(watcher) => {
+            Step::Receive(watcher) => {
                 let node = &mut nodes.watchers[watcher];
                 let before = node.known.version(TABLE);
-                node.hear();
-                assert!(node.known.version(TABLE) >= before, "it went back");
+                node.receive();
+                assert!(
+                    node.known.version(TABLE) >= before,
+                    "the known version went back"
+                );
             }
             Step::Follow(watcher) => nodes.follower.ask_node(&nodes.watchers[watcher]),
             Step::Write(..)
             | Step::Remove(_)
-            | Step::TakeCopy
-            | Step::ComeBack
+            | Step::Backup
+            | Step::Restore
             | Step::ForgetHistory => {}
         }
         nodes
@@ -331,32 +335,32 @@
     #![proptest_config(config(cases(DEFAULT_CASES)))]
 
     #[test]
-    fn no_change_is_hidden_and_no_lost_row_stays_when_the_store_comes_back(
+    fn restored_store_hides_no_change_and_keeps_no_lost_row(
         sequential 1..60 => Nodes
     );
 }
 
 #[test]
-fn a_node_that_knows_a_former_era_is_told_the_whole_table() {
+fn node_with_an_older_era_receives_the_whole_table() {
     let mut store = Store::new();
     store.write(0, Some(1));
     store.write(1, Some(1));
     let mut watcher = FollowingNode::new();
     watcher.ask(&store);
-    watcher.hear();
+    watcher.receive();
     let former = watcher.position;
     let number = table_number(TABLE).expect("it is followed");
-    let news = |watcher: &FollowingNode| {
+    let updates = |watcher: &FollowingNode| {
         let now = Timestamp::ZERO;
         watcher.known.news(number, former, now, now).expect("known")
     };
-    assert!(!news(&watcher).whole);
-    store.copy = store.content.clone();
-    store.come_back();
+    assert!(!updates(&watcher).whole);
+    store.backup = store.content.clone();
+    store.restore();
     for _ in 0..SETTLED_AFTER {
         watcher.ask(&store);
-        watcher.hear();
+        watcher.receive();
     }
-    let told = news(&watcher);
-    assert!(told.whole && told.rows.0.len() == 2, "{told:?}");
+    let received = updates(&watcher);
+    assert!(received.whole && received.rows.0.len() == 2, "{received:?}");
 }
