--- a/crates/spurpier-pipeline/src/configuration/mod.rs
+++ b/crates/spurpier-pipeline/src/configuration/mod.rs
@@ -172,7 +172,7 @@
         let (evacuated, rows) = rows
             .into_iter()
             .partition::<Vec<Row>, _>(rows::is_evacuated);
-        self.0.places.evacuations.take(
+        self.0.locality.evacuations.take(
             &rows::evacuated_zones(&evacuated),
             known.version(Table::Configuration),
             known.told_before(Table::Configuration),
@@ -195,7 +195,7 @@
     /// Has zones taken back whose rows the store has lost, if the operator has not written them again
     /// in time.
     fn look_again_at_held(&self) {
-        let Some(held_until) = self.0.places.evacuations.held_until() else {
+        let Some(held_until) = self.0.locality.evacuations.held_until() else {
             return;
         };
         let context = Arc::clone(&self.0);
@@ -324,7 +324,7 @@
             .group(&group.name)
             .set_synchronous_replicas(replicas);
     }
-    let unknown = unknown_regions(&configuration, &context.places.known_regions());
+    let unknown = unknown_regions(&configuration, &context.locality.known_regions());
     let newer = Arc::new(InForce::new(configuration));
     let changed = context.configuration.send_if_modified(|current| {
         let known = current.as_ref().map(|known| known.configuration.version);
--- a/crates/spurpier-pipeline/src/context.rs
+++ b/crates/spurpier-pipeline/src/context.rs
@@ -21,10 +21,10 @@
 use crate::group::Group;
 use crate::homes::{ChosenNodes, Homes};
 use crate::known_tables::{FOLLOWED, KnownTables};
+use crate::locality::{ColdServers, Locality};
 use crate::log_budget::LogBudget;
 use crate::metrics::Metrics;
 use crate::node_entry::LeaseScope;
-use crate::places::{ColdServers, Places};
 use crate::ports::{
     ClientDialect, EntryFormat, MetadataStore, PromotionService, ServerDialect, Table,
 };
@@ -98,7 +98,7 @@
     /// The other nodes, and which nodes are the homes of each group.
     pub homes: Homes,
     /// Where units may run.
-    pub places: Places,
+    pub locality: Locality,
     /// Leave to start tenants' operations.
     pub quotas: Quotas,
     /// Leave to send to cold servers.
--- a/crates/spurpier-pipeline/src/directory/mod.rs
+++ b/crates/spurpier-pipeline/src/directory/mod.rs
@@ -22,7 +22,7 @@
 use crate::events;
 use crate::follow::RowSink;
 use crate::group::Group;
-use crate::places::ColdGate;
+use crate::locality::ColdGate;
 use crate::ports::{Row, ServerEntry, UnusableEntry};
 use crate::server::{Listing, Pool, Server, Target};
 use crate::server_rows;
@@ -241,7 +241,7 @@
                 role = format!("{:?}", entry.role)
             );
         }
-        let zone_gate = context.places.evacuations.gate(&entry.zone);
+        let zone_gate = context.locality.evacuations.gate(&entry.zone);
         let target = Target {
             address: entry.address,
             group: entry.group.clone(),
--- a/crates/spurpier-pipeline/src/forward/messages.rs
+++ b/crates/spurpier-pipeline/src/forward/messages.rs
@@ -22,7 +22,7 @@
 use crate::ports::{
     Answer, Completion, Effect, ErrorClass, FreshnessKind, KeyDigest, ServerError, TransactionState,
 };
-use crate::quota::{LeaveAnswer, LeaveQuestion};
+use crate::quota::{PermitRequest, PermitResponse};
 use crate::server::Values;
 use crate::tenant::Caller;
 use crate::unit::{ClientStatement, PreparedExecution};
@@ -105,7 +105,7 @@
         work: WireWork,
     },
     /// Asks for permits to start operations of tenants.
-    Permits(LeaveQuestion),
+    Permits(PermitRequest),
     /// Asks a seed node, whose address the settings name, which nodes to follow for table updates.
     Watchers {
         /// The caller's name.
@@ -232,7 +232,7 @@
     /// What the runner knows of a table, with the rows that the caller lacks.
     TableUpdates(News),
     /// The answer to a request for permits.
-    Permits(LeaveAnswer),
+    Permits(PermitResponse),
     /// The nodes to follow.
     Watchers(WatcherAssignment),
 }
--- a/crates/spurpier-pipeline/src/forward/server.rs
+++ b/crates/spurpier-pipeline/src/forward/server.rs
@@ -23,7 +23,7 @@
 use crate::context::Context;
 use crate::known_tables::News;
 use crate::ports::{Answer, Effect, ErrorClass, Route, TransactionState};
-use crate::quota::answer_question;
+use crate::quota::answer_permit_request;
 use crate::tenant::Caller;
 use crate::unit::{ClientStatement, Deadlines, Unit};
 
@@ -209,9 +209,8 @@
                 self.commit(transaction, &session, ClientStatement::from(work))
                     .await
             }
-            Call::Permits(question) => {
-                answer_question(&self.context, question).map_or(Reply::NotStarted, Reply::Permits)
-            }
+            Call::Permits(question) => answer_permit_request(&self.context, question)
+                .map_or(Reply::NotStarted, Reply::Permits),
             Call::Watchers {
                 name,
                 zone,
--- a/crates/spurpier-pipeline/src/homes/authorities.rs
+++ b/crates/spurpier-pipeline/src/homes/authorities.rs
@@ -28,7 +28,7 @@
         let mut nodes = staying(nodes);
         nodes.entry(&self.own_name).or_insert(&self.own);
         let ranked = match scope {
-            Scope::Seat(seat) => self.rank_for_seat(&nodes, seat),
+            Scope::Shard(seat) => self.rank_for_seat(&nodes, seat),
             Scope::Zone => self.rank_in_zone(&nodes),
         };
         let authorities = Arc::new(ranked);
@@ -43,7 +43,7 @@
             return 1;
         };
         let count = match scope {
-            Scope::Seat(_) => nodes.len(),
+            Scope::Shard(_) => nodes.len(),
             Scope::Zone => self.listed_in_zone(nodes),
         };
         count.max(1)
--- a/crates/spurpier-pipeline/src/places/closing.rs
+++ b/crates/spurpier-pipeline/src/locality/closing.rs
@@ -13,7 +13,7 @@
 
 /// Closes evacuated zones when their time has come; never returns.
 pub async fn close_evacuated(context: Arc<Context>) {
-    let evacuations = &context.places.evacuations;
+    let evacuations = &context.locality.evacuations;
     let mut changes = evacuations.changes();
     let mut closed = BTreeSet::new();
     loop {
@@ -49,7 +49,7 @@
 /// Closes unused connections to a zone's servers, and those of transactions that rest. A server that
 /// sees its connection closed drops the transaction; nothing has to be sent for that.
 fn close(context: &Context, zone: &str) {
-    let transactions = context.places.open_transactions.close_in_zone(zone);
+    let transactions = context.locality.open_transactions.close_in_zone(zone);
     log_event!(
         events::ZONE_CLOSED,
         zone = zone,
--- a/crates/spurpier-pipeline/src/places/cold.rs
+++ b/crates/spurpier-pipeline/src/locality/cold.rs
@@ -25,20 +25,20 @@
 
 /// How long a message may wait for its leave: enough for a question to another region and back
 /// (40 ms) that is asked again, and less than the 500 ms after which a lead counts as silent.
-const LEAVE_LIMIT: Duration = Duration::from_millis(300);
-/// As [`LEAVE_LIMIT`], for a statement of an open transaction, which would be dropped without one:
+const PERMIT_TIMEOUT: Duration = Duration::from_millis(300);
+/// As [`PERMIT_TIMEOUT`], for a statement of an open transaction, which would be dropped without one:
 /// the leaves of half a second, at 10 a second for 5 statements.
-const TRANSACTION_LEAVE_LIMIT: Duration = Duration::from_millis(500);
+const TRANSACTION_PERMIT_TIMEOUT: Duration = Duration::from_millis(500);
 /// When a client should come back that no leave was given for and none ever is.
-const NEVER_PAUSE: Duration = Duration::from_secs(1);
+const CLOSED_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// When a client should come back that only a server of a zone taken back could serve, whose entry
 /// is not known to be new enough: a table is told of within a second.
-const ENTRY_PAUSE: Duration = Duration::from_millis(300);
+const ENTRY_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// How a message waits for its leave.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Patience {
+pub enum PermitWait {
     /// It is refused as soon as none is to be had: nothing is lost by that.
     Refused,
     /// It waits a little: leaves were used already to prepare its connection.
@@ -47,11 +47,11 @@
     Transaction,
 }
 
-impl Patience {
-    const fn limit(self) -> Duration {
+impl PermitWait {
+    const fn timeout(self) -> Duration {
         match self {
-            Patience::Refused | Patience::Prepared => LEAVE_LIMIT,
-            Patience::Transaction => TRANSACTION_LEAVE_LIMIT,
+            PermitWait::Refused | PermitWait::Prepared => PERMIT_TIMEOUT,
+            PermitWait::Transaction => TRANSACTION_PERMIT_TIMEOUT,
         }
     }
 }
@@ -66,7 +66,7 @@
     configuration: watch::Receiver<Option<Arc<InForce>>>,
     bound: ColdBound,
     /// Leaves to send, and what this node counts for others.
-    pub leaves: Quotas,
+    pub permits: Quotas,
     /// Until when any server is cold, in microseconds of the clock.
     latest_end: AtomicU64,
     /// The store's version up to which the servers' entries are known.
@@ -95,7 +95,7 @@
                 overage: bounds.cold_overage,
                 slack: bounds.cold_slack,
             },
-            leaves: Quotas::of_cold_servers(),
+            permits: Quotas::for_cold_servers(),
             latest_end: AtomicU64::new(0),
             entries_known_to: AtomicU64::new(0),
         })
@@ -127,7 +127,7 @@
             burst: rate.burst,
         };
         let version = known.configuration.version;
-        Some(ColdRate::Leaves(TenantQuota { quota, version }))
+        Some(ColdRate::Limited(TenantQuota { quota, version }))
     }
 }
 
@@ -137,7 +137,7 @@
     /// Nothing at all.
     Nothing,
     /// So many leaves.
-    Leaves(TenantQuota),
+    Limited(TenantQuota),
 }
 
 /// What was sent to a server while it was cold, since this was asked last.
@@ -254,9 +254,9 @@
             return None;
         }
         match self.shared.rate(&self.group)? {
-            _ if awaits_entry => Some(ENTRY_PAUSE),
-            ColdRate::Nothing => Some(NEVER_PAUSE),
-            ColdRate::Leaves(_) => self.shared.leaves.limited_for(&self.subject, now),
+            _ if awaits_entry => Some(ENTRY_RETRY_DELAY),
+            ColdRate::Nothing => Some(CLOSED_RETRY_DELAY),
+            ColdRate::Limited(_) => self.shared.permits.limited_for(&self.subject, now),
         }
     }
 
@@ -273,68 +273,68 @@
     /// # Errors
     ///
     /// [`NoLeave`] if it must not be sent.
-    pub async fn pass(&self, patience: Patience) -> Result<(), NoLeave> {
+    pub async fn pass(&self, wait: PermitWait) -> Result<(), NoLeave> {
         let awaits_entry = self.awaits_entry();
         if !awaits_entry && !self.is_cold(self.shared.clock.now()) {
             return Ok(());
         }
         let quota = match self.shared.rate(&self.group) {
             None => return Ok(()),
-            Some(_) if awaits_entry => return self.refuse(ENTRY_PAUSE),
-            Some(ColdRate::Nothing) => return self.refuse(NEVER_PAUSE),
-            Some(ColdRate::Leaves(quota)) => quota,
+            Some(_) if awaits_entry => return self.refuse(ENTRY_RETRY_DELAY),
+            Some(ColdRate::Nothing) => return self.refuse(CLOSED_RETRY_DELAY),
+            Some(ColdRate::Limited(quota)) => quota,
         };
-        match self.take_leave(quota, patience).await {
+        match self.acquire_permit(quota, wait).await {
             Ok(()) => {
                 self.sent.fetch_add(1, Ordering::Relaxed);
                 Ok(())
             }
-            Err(pause) => self.refuse(pause),
+            Err(delay) => self.refuse(delay),
         }
     }
 
-    fn refuse(&self, pause: Duration) -> Result<(), NoLeave> {
+    fn refuse(&self, delay: Duration) -> Result<(), NoLeave> {
         self.refused.fetch_add(1, Ordering::Relaxed);
-        Err(NoLeave(pause))
+        Err(NoLeave(delay))
     }
 
     /// Takes a leave that is not over; the pause until one may be had if there is none.
-    async fn take_leave(&self, quota: TenantQuota, patience: Patience) -> Result<(), Duration> {
+    async fn acquire_permit(&self, quota: TenantQuota, wait: PermitWait) -> Result<(), Duration> {
         let clock = &self.shared.clock;
-        let until = clock.now() + patience.limit();
-        if patience == Patience::Refused && self.waiting.load(Ordering::Relaxed) > 0 {
+        let until = clock.now() + wait.timeout();
+        if wait == PermitWait::Refused && self.waiting.load(Ordering::Relaxed) > 0 {
             // What waits goes first: it has more to lose.
-            return Err(LEAVE_LIMIT);
+            return Err(PERMIT_TIMEOUT);
         }
         loop {
-            let leaves = &self.shared.leaves;
-            let taken = leaves.take(clock, &self.subject, quota, until).await;
-            let pause = match taken {
-                Ok(leave) if leave.expires_at > clock.now() => return Ok(()),
+            let permits = &self.shared.permits;
+            let taken = permits.acquire(clock, &self.subject, quota, until).await;
+            let delay = match taken {
+                Ok(permit) if permit.expires_at > clock.now() => return Ok(()),
                 // The process stood still in between.
                 Ok(_) => continue,
-                Err(Refused::OverQuota(pause) | Refused::NoAuthority(pause)) => pause,
+                Err(Refused::OverQuota(delay) | Refused::NoAuthority(delay)) => delay,
             };
-            if patience == Patience::Refused || clock.now() + pause >= until {
-                return Err(pause);
+            if wait == PermitWait::Refused || clock.now() + delay >= until {
+                return Err(delay);
             }
-            let _waiting = Waits::new(&self.waiting);
-            tokio::time::sleep(pause).await;
+            let _waiting = WaitingGuard::new(&self.waiting);
+            tokio::time::sleep(delay).await;
         }
     }
 }
 
 /// Counts a message that waits.
-struct Waits<'a>(&'a AtomicUsize);
+struct WaitingGuard<'a>(&'a AtomicUsize);
 
-impl<'a> Waits<'a> {
+impl<'a> WaitingGuard<'a> {
     fn new(waiting: &'a AtomicUsize) -> Self {
         waiting.fetch_add(1, Ordering::Relaxed);
-        Waits(waiting)
+        WaitingGuard(waiting)
     }
 }
 
-impl Drop for Waits<'_> {
+impl Drop for WaitingGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/spurpier-pipeline/src/places/mod.rs
+++ b/crates/spurpier-pipeline/src/locality/mod.rs
@@ -16,7 +16,7 @@
 use spurpier_core::time::Timestamp;
 
 pub use self::closing::close_evacuated;
-pub use self::cold::{ColdGate, ColdServers, NoLeave, Patience};
+pub use self::cold::{ColdGate, ColdServers, NoLeave, PermitWait};
 use self::demand::PrimaryDemand;
 pub use self::evacuations::FollowedEvacuations;
 pub use self::gate::ZoneGate;
@@ -101,7 +101,7 @@
 
 /// What this node knows of places.
 #[derive(Debug)]
-pub struct Places {
+pub struct Locality {
     /// The region of each zone.
     regions: BTreeMap<String, String>,
     /// The zones that are evacuated.
@@ -112,11 +112,11 @@
     pub demand: PrimaryDemand,
 }
 
-impl Places {
+impl Locality {
     /// The places of these settings.
     pub fn new(settings: &PipelineSettings, clock: &Clock) -> Self {
         let bound = settings.bounds.evacuation_bound();
-        Places {
+        Locality {
             regions: settings.zones.clone(),
             evacuations: FollowedEvacuations::new(bound, clock.clone()),
             open_transactions: OpenTransactions::default(),
--- a/crates/spurpier-pipeline/src/metrics.rs
+++ b/crates/spurpier-pipeline/src/metrics.rs
@@ -280,7 +280,7 @@
             .map_or(0, |known| known.configuration.version);
         self.configuration
             .set(i64::try_from(version).unwrap_or(i64::MAX));
-        let evacuated = context.places.evacuations.zones().len();
+        let evacuated = context.locality.evacuations.zones().len();
         self.evacuated_zones.set(as_gauge(evacuated));
         self.set_table_ages(context);
         // Servers and groups that are gone are not told any more.
--- a/crates/spurpier-pipeline/src/node.rs
+++ b/crates/spurpier-pipeline/src/node.rs
@@ -28,15 +28,15 @@
 use crate::forward::{self, Links, LostNodes};
 use crate::homes::Homes;
 use crate::known_tables::KnownTables;
+use crate::locality::{ColdServers, Locality, close_evacuated};
 use crate::log_budget::LogBudget;
 use crate::membership::{ClusterSink, keep_listed, list_leaving, unlist_lost, unlist_self};
 use crate::metrics::Metrics;
-use crate::places::{ColdServers, Places, close_evacuated};
 use crate::ports::{
     ClientDialect, EntryFormat, MetadataStore, PromotionService, ServerDialect, Table,
 };
 use crate::promotion::{Peers, report_demand_and_decide_moves, watch_groups};
-use crate::quota::{Quotas, start_seats};
+use crate::quota::{Quotas, start_quota_shards};
 use crate::readiness;
 use crate::session::serve_client;
 use crate::settings::{ListenSettings, PipelineSettings};
@@ -184,7 +184,7 @@
         let context = Context {
             retry_budget: Mutex::new(RetryBudget::new(RETRY_BUDGET, clock.now())),
             homes: Homes::new(&parts.settings),
-            places: Places::new(&parts.settings, &clock),
+            locality: Locality::new(&parts.settings, &clock),
             quotas: Quotas::new(&parts.settings),
             cold,
             settings: parts.settings,
@@ -235,7 +235,7 @@
     tokio::spawn(close_unused(shared()));
     tokio::spawn(close_evacuated(shared()));
     tokio::spawn(keep_listed(shared()));
-    start_seats(context);
+    start_quota_shards(context);
 }
 
 fn start_duty(context: &Arc<Context>, socket: UdpSocket) {
--- a/crates/spurpier-pipeline/src/promotion/demand.rs
+++ b/crates/spurpier-pipeline/src/promotion/demand.rs
@@ -27,15 +27,15 @@
 pub async fn report_demand_and_decide_moves(context: Arc<Context>, peers: Arc<Peers>) {
     loop {
         tokio::time::sleep(REPORT_INTERVAL).await;
-        for (name, demand) in context.places.demand.take_counts() {
+        for (name, demand) in context.locality.demand.take_counts() {
             let now = context.clock.now();
-            context.places.demand.note(&name, &demand, now);
+            context.locality.demand.note(&name, &demand, now);
             let homes = deciding_homes(&context, &name);
             let homes = homes.into_iter().take(MAX_CONTACTED_HOMES);
             let addresses: Vec<Option<SocketAddr>> = homes.map(peer_address).collect();
             tokio::spawn(Arc::clone(&peers).report_demand(name, demand, addresses));
         }
-        for group in context.places.demand.groups() {
+        for group in context.locality.demand.groups() {
             if let Some(group) = context.known_group(&group) {
                 decide(&context, &group);
             }
@@ -71,8 +71,8 @@
     let Some(leader) = group.lead() else {
         return;
     };
-    let places = &context.places;
-    let Some(current_region) = places
+    let locality = &context.locality;
+    let Some(current_region) = locality
         .region(&leader.listing().entry.zone)
         .map(str::to_owned)
     else {
@@ -81,15 +81,15 @@
     let now = context.clock.now();
     let servers = group.servers();
     let may_succeed = servers.iter().filter(|server| {
-        server.is_staying() && !server.health().is_silent() && places.may_succeed(server, now)
+        server.is_staying() && !server.health().is_silent() && locality.may_succeed(server, now)
     });
     let regions = may_succeed.filter_map(|server| {
-        places
+        locality
             .region(&server.listing().entry.zone)
             .map(str::to_owned)
     });
     let candidates: BTreeSet<String> = regions.collect();
-    places
+    locality
         .demand
         .decide(&group.name, &current_region, &candidates, now);
 }
@@ -100,7 +100,7 @@
         let context = self.context();
         if context.known_group(group).is_some() {
             let now = context.clock.now();
-            context.places.demand.note_wish(group, region, now);
+            context.locality.demand.note_wish(group, region, now);
         }
     }
 
@@ -113,7 +113,7 @@
         }
         let demand: Vec<RegionDemand> = reports.0.into_iter().map(RegionDemand::from).collect();
         let now = context.clock.now();
-        context.places.demand.note(group, &demand, now);
+        context.locality.demand.note(group, &demand, now);
         true
     }
 
--- a/crates/spurpier-pipeline/src/promotion/evacuation.rs
+++ b/crates/spurpier-pipeline/src/promotion/evacuation.rs
@@ -51,10 +51,10 @@
     /// locality allows it.
     pub(super) fn has_eligible_successor(&self, leader: &Server) -> bool {
         let now = self.context.clock.now();
-        let places = &self.context.places;
+        let locality = &self.context.locality;
         let servers = self.group.servers().into_iter();
         let mut others = servers.filter(|server| server.incarnation != leader.incarnation);
-        others.any(|server| server.is_staying() && places.may_succeed(&server, now))
+        others.any(|server| server.is_staying() && locality.may_succeed(&server, now))
     }
 
     /// Whether a primary that cannot be used leads nevertheless, as after a decision whose
--- a/crates/spurpier-pipeline/src/promotion/hand_over.rs
+++ b/crates/spurpier-pipeline/src/promotion/hand_over.rs
@@ -13,7 +13,7 @@
 };
 use super::watch::{PromotionTask, UNDECIDED_DELAY};
 use crate::events;
-use crate::places::MoveReason;
+use crate::locality::MoveReason;
 use crate::ports::PromotionAnswer;
 use crate::server::Server;
 
@@ -87,7 +87,7 @@
             }
             MoveReason::Demand => {
                 let now = context.clock.now();
-                let region = context.places.demand.wish(&group.name, now)?;
+                let region = context.locality.demand.wish(&group.name, now)?;
                 find_successor_in_region(context, group, former, &region).await
             }
         }
--- a/crates/spurpier-pipeline/src/promotion/successor.rs
+++ b/crates/spurpier-pipeline/src/promotion/successor.rs
@@ -112,13 +112,13 @@
 
 fn choose(context: &Context, group: &Group, reports: &[ServerReport]) -> Option<Successor> {
     let now = context.clock.now();
-    let places = &context.places;
+    let locality = &context.locality;
     let candidates: Vec<SuccessorCandidate> = reports
         .iter()
         .map(|report| SuccessorCandidate {
             received: report.status.as_ref().map(|status| status.received),
-            eligible: report.server.is_staying() && places.may_succeed(&report.server, now),
-            placement_score: places.fit(group, &report.server, now),
+            eligible: report.server.is_staying() && locality.may_succeed(&report.server, now),
+            placement_score: locality.fit(group, &report.server, now),
         })
         .collect();
     let chosen = choose_successor(&candidates, group.synchronous_replicas())?;
@@ -217,11 +217,11 @@
 ) -> Option<Successor> {
     let reports = ask_replicas(context, group, Some(former), ServerRequest::Status).await;
     let now = context.clock.now();
-    let places = &context.places;
+    let locality = &context.locality;
     let is_in_region =
-        |server: &Server| places.region(&server.listing().entry.zone) == Some(region);
+        |server: &Server| locality.region(&server.listing().entry.zone) == Some(region);
     let may_take_over = |server: &Server| {
-        is_in_region(server) && server.is_staying() && places.may_succeed(server, now)
+        is_in_region(server) && server.is_staying() && locality.may_succeed(server, now)
     };
     let candidates = reports
         .into_iter()
--- a/crates/spurpier-pipeline/src/promotion/watch.rs
+++ b/crates/spurpier-pipeline/src/promotion/watch.rs
@@ -21,7 +21,7 @@
 use crate::context::Context;
 use crate::events;
 use crate::group::Group;
-use crate::places::{Bar, MoveReason};
+use crate::locality::{Bar, MoveReason};
 use crate::ports::{PromotionAnswer, StoreError};
 use crate::server::Server;
 use crate::unit::{NotRun, renew_proof};
@@ -70,7 +70,11 @@
         return !group.servers().is_empty() && *context.directory_known.borrow();
     };
     let now = context.clock.now();
-    if context.places.reason_to_move(group, &leader, now).is_some() {
+    if context
+        .locality
+        .reason_to_move(group, &leader, now)
+        .is_some()
+    {
         return true;
     }
     leader.health().unanswered_count > 0
@@ -232,8 +236,8 @@
     /// The action that a group needs whose primary is in service.
     fn action_for_serving_primary(&self, leader: Arc<Server>) -> RequiredAction {
         let now = self.context.clock.now();
-        let places = &self.context.places;
-        match places.reason_to_move(&self.group, &leader, now) {
+        let locality = &self.context.locality;
+        match locality.reason_to_move(&self.group, &leader, now) {
             Some(MoveReason::Evacuated) if !self.has_eligible_successor(&leader) => {
                 RequiredAction::Wait
             }
@@ -284,7 +288,7 @@
         };
         let asked_at = self.context.clock.now();
         let group = self.group.name.as_str();
-        let region = self.context.places.demand.wish(group, asked_at);
+        let region = self.context.locality.demand.wish(group, asked_at);
         let was_answered = self
             .peers
             .ask_for_decision(&row.holder, group, region)
--- a/crates/spurpier-pipeline/src/quota/messages.rs
+++ b/crates/spurpier-pipeline/src/quota/messages.rs
@@ -12,42 +12,42 @@
 
 /// A node's question to an authority, which is its vote as well.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
-pub struct LeaveQuestion {
+pub struct PermitRequest {
     /// For whom the authority counts.
     pub scope: Scope,
     /// The name of the node that asks.
     pub voter: String,
-    sent_after: Option<CalledStamp>,
-    wants: List<CalledWant>,
+    sent_after: Option<EncodedTimestamp>,
+    demands: List<EncodedDemand>,
 }
 
 /// [`AuthorityTimestamp`] as a message carries it.
 #[derive(Debug, Clone, Copy, PartialEq, SerBin, DeBin)]
-struct CalledStamp {
-    life: u64,
+struct EncodedTimestamp {
+    incarnation: u64,
     at_micros: u64,
 }
 
-impl From<AuthorityTimestamp> for CalledStamp {
+impl From<AuthorityTimestamp> for EncodedTimestamp {
     fn from(stamp: AuthorityTimestamp) -> Self {
-        CalledStamp {
-            life: stamp.incarnation,
+        EncodedTimestamp {
+            incarnation: stamp.incarnation,
             at_micros: stamp.at.as_micros(),
         }
     }
 }
 
-impl From<CalledStamp> for AuthorityTimestamp {
-    fn from(stamp: CalledStamp) -> Self {
+impl From<EncodedTimestamp> for AuthorityTimestamp {
+    fn from(stamp: EncodedTimestamp) -> Self {
         AuthorityTimestamp {
-            incarnation: stamp.life,
+            incarnation: stamp.incarnation,
             at: Timestamp::from_micros(stamp.at_micros),
         }
     }
 }
 
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
-struct CalledWant {
+struct EncodedDemand {
     tenant: String,
     waiting: u32,
     per_second: f64,
@@ -55,26 +55,26 @@
     version: u64,
 }
 
-impl LeaveQuestion {
+impl PermitRequest {
     /// A question for these tenants; without any it is a vote alone.
     pub fn new<'a>(
         scope: Scope,
         voter: &str,
         sent_after: Option<AuthorityTimestamp>,
-        wants: impl Iterator<Item = (&'a str, PermitDemand)>,
+        demands: impl Iterator<Item = (&'a str, PermitDemand)>,
     ) -> Self {
-        let wants = wants.map(|(tenant, want)| CalledWant {
+        let demands = demands.map(|(tenant, demand)| EncodedDemand {
             tenant: tenant.to_owned(),
-            waiting: want.waiting,
-            per_second: want.rate.per_second,
-            burst: want.rate.burst,
-            version: want.version,
+            waiting: demand.waiting,
+            per_second: demand.rate.per_second,
+            burst: demand.rate.burst,
+            version: demand.version,
         });
-        LeaveQuestion {
+        PermitRequest {
             scope,
             voter: voter.to_owned(),
-            sent_after: sent_after.map(CalledStamp::from),
-            wants: List(wants.collect()),
+            sent_after: sent_after.map(EncodedTimestamp::from),
+            demands: List(demands.collect()),
         }
     }
 
@@ -84,47 +84,47 @@
     }
 
     /// What is asked for each tenant.
-    pub fn into_wants(self) -> impl Iterator<Item = (String, PermitDemand)> {
-        self.wants.0.into_iter().map(|want| {
+    pub fn into_demands(self) -> impl Iterator<Item = (String, PermitDemand)> {
+        self.demands.0.into_iter().map(|demand| {
             let rate = QuotaRate {
-                per_second: want.per_second,
-                burst: want.burst,
+                per_second: demand.per_second,
+                burst: demand.burst,
             };
             let wanted = PermitDemand {
-                waiting: want.waiting,
+                waiting: demand.waiting,
                 rate,
-                version: want.version,
+                version: demand.version,
             };
-            (want.tenant, wanted)
+            (demand.tenant, wanted)
         })
     }
 }
 
 /// An authority's answer: a grant for each tenant of the question, in its order.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
-pub struct LeaveAnswer {
+pub struct PermitResponse {
     /// Whether it has the votes of most nodes.
     pub has_majority: bool,
-    stamp: CalledStamp,
-    grants: List<CalledGrant>,
+    stamp: EncodedTimestamp,
+    grants: List<EncodedGrant>,
 }
 
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
-struct CalledGrant {
-    leaves: u32,
-    pause_ms: u32,
+struct EncodedGrant {
+    permits: u32,
+    retry_after_ms: u32,
 }
 
-impl LeaveAnswer {
+impl PermitResponse {
     /// An answer with these grants.
     pub fn new(has_majority: bool, stamp: AuthorityTimestamp, grants: &[Grant]) -> Self {
-        let grants = grants.iter().map(|grant| CalledGrant {
-            leaves: grant.permits,
-            pause_ms: millis(grant.retry_after),
+        let grants = grants.iter().map(|grant| EncodedGrant {
+            permits: grant.permits,
+            retry_after_ms: millis(grant.retry_after),
         });
-        LeaveAnswer {
+        PermitResponse {
             has_majority,
-            stamp: CalledStamp::from(stamp),
+            stamp: EncodedTimestamp::from(stamp),
             grants: List(grants.collect()),
         }
     }
@@ -137,9 +137,9 @@
     /// The grants.
     pub fn grants(&self) -> impl Iterator<Item = Grant> {
         self.grants.0.iter().map(|grant| {
-            let retry_after: Duration = duration(grant.pause_ms);
+            let retry_after: Duration = duration(grant.retry_after_ms);
             Grant {
-                permits: grant.leaves,
+                permits: grant.permits,
                 retry_after,
             }
         })
--- a/crates/spurpier-pipeline/src/quota/mod.rs
+++ b/crates/spurpier-pipeline/src/quota/mod.rs
@@ -4,9 +4,9 @@
 //! every node ranks the same nodes, and asks the first one that it reaches. Where none of them
 //! answers for most nodes, the authority of the node's own zone is asked.
 
-mod asker;
+mod authority_client;
 mod messages;
-mod seat;
+mod shard;
 mod waiting;
 
 use std::collections::HashMap;
@@ -25,9 +25,9 @@
 use spurpier_core::time::Timestamp;
 use tokio::sync::oneshot;
 
-use self::asker::Asker;
-pub use self::messages::{LeaveAnswer, LeaveQuestion};
-use self::seat::Seat;
+use self::authority_client::AuthorityClient;
+pub use self::messages::{PermitRequest, PermitResponse};
+use self::shard::QuotaShard;
 use crate::clock::Clock;
 use crate::context::Context;
 use crate::ports::Quota;
@@ -36,17 +36,17 @@
 /// Seats over which tenants are spread: as many nodes count operations. Each question of a node
 /// goes to one of them, so that of 59 nodes with 1,200 operations a second each of four answers 300
 /// questions a second.
-const SEATS: u8 = 4;
+const TENANT_SHARDS: u8 = 4;
 /// Seats of cold servers, behind those of tenants: they are few, and cold for seconds.
-const COLD_SEATS: u8 = 1;
+const COLD_SERVER_SHARDS: u8 = 1;
 /// What a client is told to wait when no authority can be asked.
-const UNREACHED_PAUSE: Duration = Duration::from_millis(300);
+const NO_AUTHORITY_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Whom an authority counts for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, SerBin, DeBin)]
 pub enum Scope {
     /// All nodes, for the tenants of a seat.
-    Seat(u8),
+    Shard(u8),
     /// The nodes of its zone, for all tenants.
     Zone,
 }
@@ -82,20 +82,20 @@
 /// what is sent to cold servers, which stand in the place of tenants then.
 #[derive(Debug)]
 pub struct Quotas {
-    ledger: Mutex<PermitCache>,
-    seats: Vec<Arc<Seat>>,
+    permit_cache: Mutex<PermitCache>,
+    shards: Vec<Arc<QuotaShard>>,
     authorities: Mutex<HashMap<u8, Authority>>,
     /// The zone's own part, which is used while most nodes cannot be asked.
-    zone: Option<ZonePart>,
+    zone: Option<ZoneQuota>,
     bound: QuotaBound,
     /// Tells this process's life from others of the node.
-    life: u64,
+    incarnation: u64,
 }
 
 /// What a zone counts by itself.
 #[derive(Debug)]
-struct ZonePart {
-    asker: Arc<Asker>,
+struct ZoneQuota {
+    authority_client: Arc<AuthorityClient>,
     authority: Mutex<ZoneAuthority>,
 }
 
@@ -108,46 +108,53 @@
             overage: bounds.quota_overage,
             slack: bounds.quota_slack,
         };
-        let mut quotas = Self::of_seats(0..SEATS, bound);
+        let mut quotas = Self::with_shards(0..TENANT_SHARDS, bound);
         let zones = settings.zones.keys().map(String::as_str);
         let place = ZonePosition::of(&settings.node.zone, zones);
-        quotas.zone = place.map(|place| ZonePart {
-            asker: Arc::new(Asker::new(Scope::Zone)),
-            authority: Mutex::new(ZoneAuthority::new(bound, place, quotas.life)),
+        quotas.zone = place.map(|place| ZoneQuota {
+            authority_client: Arc::new(AuthorityClient::new(Scope::Zone)),
+            authority: Mutex::new(ZoneAuthority::new(bound, place, quotas.incarnation)),
         });
         quotas
     }
 
     /// As [`Quotas::new`], for what is sent to cold servers. Their bound has no slack that zones
     /// could divide.
-    pub fn of_cold_servers() -> Self {
-        Self::of_seats(SEATS..SEATS + COLD_SEATS, ColdBound::AUTHORITY_BOUND)
+    pub fn for_cold_servers() -> Self {
+        Self::with_shards(
+            TENANT_SHARDS..TENANT_SHARDS + COLD_SERVER_SHARDS,
+            ColdBound::AUTHORITY_BOUND,
+        )
     }
 
-    fn of_seats(seats: Range<u8>, bound: QuotaBound) -> Self {
+    fn with_shards(shards: Range<u8>, bound: QuotaBound) -> Self {
         Quotas {
-            ledger: Mutex::default(),
-            seats: seats.map(|index| Arc::new(Seat::new(index))).collect(),
+            permit_cache: Mutex::default(),
+            shards: shards
+                .map(|index| Arc::new(QuotaShard::new(index)))
+                .collect(),
             authorities: Mutex::default(),
             zone: None,
             bound,
-            life: rand::rng().random(),
+            incarnation: rand::rng().random(),
         }
     }
 
     /// What counts for a scope.
-    fn of_scope(context: &Context, scope: Scope) -> &Self {
+    fn for_scope(context: &Context, scope: Scope) -> &Self {
         match scope {
-            Scope::Seat(seat) if seat >= SEATS => &context.cold.leaves,
-            Scope::Seat(_) | Scope::Zone => &context.quotas,
+            Scope::Shard(shard) if shard >= TENANT_SHARDS => &context.cold.permits,
+            Scope::Shard(_) | Scope::Zone => &context.quotas,
         }
     }
 
     /// Whether there is anything to count for a scope.
     fn is_used(context: &Context, scope: Scope) -> bool {
         match scope {
-            Scope::Seat(seat) if seat >= SEATS => context.cold.are_counted(context.clock.now()),
-            Scope::Seat(_) | Scope::Zone => {
+            Scope::Shard(shard) if shard >= TENANT_SHARDS => {
+                context.cold.are_counted(context.clock.now())
+            }
+            Scope::Shard(_) | Scope::Zone => {
                 context.in_force().is_some_and(|known| known.has_quotas())
             }
         }
@@ -155,7 +162,7 @@
 
     /// For how long it is known that no leave is to be had; none if one may be.
     pub fn limited_for(&self, subject: &str, now: Timestamp) -> Option<Duration> {
-        self.ledger().limited_for(subject, now)
+        self.permit_cache().limited_for(subject, now)
     }
 
     /// Takes a leave for an operation on a subject, at most until `until`.
@@ -163,89 +170,101 @@
     /// # Errors
     ///
     /// [`Refused`], at once where that is known already.
-    pub async fn take(
+    pub async fn acquire(
         &self,
         clock: &Clock,
         subject: &Arc<str>,
         quota: TenantQuota,
         until: Timestamp,
     ) -> Result<Permit, Refused> {
-        let taken = self.ledger().acquire(subject, clock.now());
+        let taken = self.permit_cache().acquire(subject, clock.now());
         match taken {
-            AcquireOutcome::Permit(leave) => Ok(leave),
-            AcquireOutcome::Limited(pause) => Err(Refused::OverQuota(pause)),
+            AcquireOutcome::Permit(permit) => Ok(permit),
+            AcquireOutcome::Limited(delay) => Err(Refused::OverQuota(delay)),
             AcquireOutcome::AskAuthority => {
-                let asked = self.seat(subject).ask(subject, quota);
-                await_leave(clock, asked, until).await
+                let asked = self.shard(subject).request(subject, quota);
+                await_permit(clock, asked, until).await
             }
         }
     }
 
-    fn ledger(&self) -> MutexGuard<'_, PermitCache> {
-        self.ledger.lock().unwrap_or_else(PoisonError::into_inner)
+    fn permit_cache(&self) -> MutexGuard<'_, PermitCache> {
+        self.permit_cache
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn seat(&self, tenant: &str) -> &Arc<Seat> {
+    fn shard(&self, tenant: &str) -> &Arc<QuotaShard> {
         let digest = subject_digest(tenant);
-        &self.seats[(digest % self.seats.len() as u64) as usize]
+        &self.shards[(digest % self.shards.len() as u64) as usize]
     }
 
     /// Answers a node's question, when so many nodes are listed that may ask; none if this node
     /// does not count for the scope.
-    fn answer(&self, question: LeaveQuestion, nodes: usize, now: Timestamp) -> Option<LeaveAnswer> {
-        match question.scope {
-            Scope::Seat(seat) => Some(self.answer_seat(seat, question, nodes, now)),
-            Scope::Zone => self.answer_zone(question, nodes, now),
+    fn answer(
+        &self,
+        request: PermitRequest,
+        nodes: usize,
+        now: Timestamp,
+    ) -> Option<PermitResponse> {
+        match request.scope {
+            Scope::Shard(shard) => Some(self.answer_for_shard(shard, request, nodes, now)),
+            Scope::Zone => self.answer_for_zone(request, nodes, now),
         }
     }
 
-    fn answer_seat(
+    fn answer_for_shard(
         &self,
-        seat: u8,
-        question: LeaveQuestion,
+        shard: u8,
+        request: PermitRequest,
         nodes: usize,
         now: Timestamp,
-    ) -> LeaveAnswer {
+    ) -> PermitResponse {
         let authorities = self.authorities.lock();
         let mut authorities = authorities.unwrap_or_else(PoisonError::into_inner);
         let authority = authorities
-            .entry(seat)
-            .or_insert_with(|| Authority::new(self.bound, self.life));
-        authority.record_vote(&question.voter, question.sent_after(), nodes, now);
-        let mut grant = |tenant: &str, want: PermitDemand| {
-            let spread = rand::rng().random();
-            authority.grant(tenant, want, spread, now)
+            .entry(shard)
+            .or_insert_with(|| Authority::new(self.bound, self.incarnation));
+        authority.record_vote(&request.voter, request.sent_after(), nodes, now);
+        let mut grant = |tenant: &str, demand: PermitDemand| {
+            let jitter = rand::rng().random();
+            authority.grant(tenant, demand, jitter, now)
         };
-        let wants = question.into_wants();
-        let grants: Vec<Grant> = wants.map(|(tenant, want)| grant(&tenant, want)).collect();
-        LeaveAnswer::new(authority.has_majority(), authority.timestamp(now), &grants)
+        let demands = request.into_demands();
+        let grants: Vec<Grant> = demands
+            .map(|(tenant, demand)| grant(&tenant, demand))
+            .collect();
+        PermitResponse::new(authority.has_majority(), authority.timestamp(now), &grants)
     }
 
-    fn answer_zone(
+    fn answer_for_zone(
         &self,
-        question: LeaveQuestion,
+        request: PermitRequest,
         nodes: usize,
         now: Timestamp,
-    ) -> Option<LeaveAnswer> {
+    ) -> Option<PermitResponse> {
         let authority = self.zone.as_ref()?.authority.lock();
         let mut authority = authority.unwrap_or_else(PoisonError::into_inner);
-        authority.record_vote(&question.voter, question.sent_after(), nodes, now);
-        let mut grant = |tenant: &str, want: PermitDemand| {
-            let spread = rand::rng().random();
-            authority.grant(tenant, want.waiting, spread, now)
+        authority.record_vote(&request.voter, request.sent_after(), nodes, now);
+        let mut grant = |tenant: &str, demand: PermitDemand| {
+            let jitter = rand::rng().random();
+            authority.grant(tenant, demand.waiting, jitter, now)
         };
-        let wants = question.into_wants();
-        let grants: Vec<Grant> = wants.map(|(tenant, want)| grant(&tenant, want)).collect();
-        let answer = LeaveAnswer::new(authority.has_majority(), authority.timestamp(now), &grants);
+        let demands = request.into_demands();
+        let grants: Vec<Grant> = demands
+            .map(|(tenant, demand)| grant(&tenant, demand))
+            .collect();
+        let answer =
+            PermitResponse::new(authority.has_majority(), authority.timestamp(now), &grants);
         Some(answer)
     }
 }
 
 /// The leave of an operation; given back if the operation has not run.
 #[derive(Debug)]
-pub struct OperationLeave {
+pub struct OperationPermit {
     tenant: Arc<str>,
-    leave: Permit,
+    permit: Permit,
 }
 
 /// Takes a leave for an operation of a tenant, at most until `until`.
@@ -253,54 +272,54 @@
 /// # Errors
 ///
 /// [`Refused`], at once where that is known already.
-pub async fn take_leave(
+pub async fn acquire_permit(
     context: &Context,
     tenant: &Arc<str>,
     quota: TenantQuota,
     until: Timestamp,
-) -> Result<OperationLeave, Refused> {
-    let taken = context.quotas.take(&context.clock, tenant, quota, until);
-    let leave = taken.await?;
+) -> Result<OperationPermit, Refused> {
+    let taken = context.quotas.acquire(&context.clock, tenant, quota, until);
+    let permit = taken.await?;
     let tenant = Arc::clone(tenant);
-    Ok(OperationLeave { tenant, leave })
+    Ok(OperationPermit { tenant, permit })
 }
 
-async fn await_leave(
+async fn await_permit(
     clock: &Clock,
     asked: oneshot::Receiver<Result<Permit, Refused>>,
     until: Timestamp,
 ) -> Result<Permit, Refused> {
-    let unreached = Refused::NoAuthority(UNREACHED_PAUSE);
+    let unreached = Refused::NoAuthority(NO_AUTHORITY_RETRY_DELAY);
     let limit = clock.instant(until);
     let answered = tokio::time::timeout_at(limit, asked).await;
     answered.map_err(|_| unreached)?.map_err(|_| unreached)?
 }
 
 /// Takes back the leave of an operation that has not run.
-pub fn put_back(context: &Context, leave: OperationLeave) {
+pub fn return_permit(context: &Context, permit: OperationPermit) {
     let now = context.clock.now();
-    let mut ledger = context.quotas.ledger();
-    ledger.return_unused(&leave.tenant, leave.leave, now);
+    let mut permit_cache = context.quotas.permit_cache();
+    permit_cache.return_unused(&permit.tenant, permit.permit, now);
 }
 
 /// Answers another node's question; none if this node is about to end, so that votes for it are
 /// void, or does not count for the scope.
-pub fn answer_question(context: &Context, question: LeaveQuestion) -> Option<LeaveAnswer> {
+pub fn answer_permit_request(context: &Context, request: PermitRequest) -> Option<PermitResponse> {
     if context.draining.is_cancelled() {
         return None;
     }
-    let nodes = context.homes.voter_count(question.scope);
-    let quotas = Quotas::of_scope(context, question.scope);
-    quotas.answer(question, nodes, context.clock.now())
+    let nodes = context.homes.voter_count(request.scope);
+    let quotas = Quotas::for_scope(context, request.scope);
+    quotas.answer(request, nodes, context.clock.now())
 }
 
 /// Starts asking the authorities of all seats for what clients wait for, and voting in the zone.
-pub fn start_seats(context: &Arc<Context>) {
+pub fn start_quota_shards(context: &Arc<Context>) {
     if let Some(zone) = &context.quotas.zone {
-        tokio::spawn(Arc::clone(&zone.asker).vote(Arc::clone(context)));
+        tokio::spawn(Arc::clone(&zone.authority_client).vote(Arc::clone(context)));
     }
-    let cold_seats = &context.cold.leaves.seats;
-    for seat in context.quotas.seats.iter().chain(cold_seats) {
-        tokio::spawn(Arc::clone(seat).run(Arc::clone(context)));
+    let cold_server_shards = &context.cold.permits.shards;
+    for shard in context.quotas.shards.iter().chain(cold_server_shards) {
+        tokio::spawn(Arc::clone(shard).run(Arc::clone(context)));
     }
 }
--- a/crates/spurpier-pipeline/src/server/connection.rs
+++ b/crates/spurpier-pipeline/src/server/connection.rs
@@ -14,7 +14,7 @@
 use tokio::net::TcpStream;
 
 use super::pool::Target;
-use crate::places::{ColdGate, NoLeave, Patience, ZoneGate};
+use crate::locality::{ColdGate, NoLeave, PermitWait, ZoneGate};
 use crate::ports::{
     Answer, Completion, ErrorClass, ServerDialect, ServerError, ServerMessage, ServerRequest,
     TransactionState,
@@ -143,7 +143,7 @@
             instance: target.incarnation.name(),
         };
         self.dialect.encode(&request, &mut self.output);
-        let passed = self.cold_gate.pass(Patience::Refused).await;
+        let passed = self.cold_gate.pass(PermitWait::Refused).await;
         passed.map_err(OpenError::Cold)?;
         if self.zone_gate.is_closed() {
             return Err(OpenError::Closed);
@@ -216,7 +216,7 @@
     /// transaction.
     pub async fn roll_back(&mut self) -> Result<(), ExchangeError> {
         self.busy = true;
-        self.pass(Patience::Refused).await?;
+        self.pass(PermitWait::Refused).await?;
         self.queue_rollback();
         let sent = self.flush().await;
         sent.map_err(|_| ExchangeError::Unclear)?;
@@ -270,7 +270,7 @@
 
     /// Passes one message through both gates; it must then be sent without delay. The zone gate is
     /// checked last because it may close while the message waits at the cold gate.
-    async fn pass(&mut self, cold_wait: Patience) -> Result<(), ExchangeError> {
+    async fn pass(&mut self, cold_wait: PermitWait) -> Result<(), ExchangeError> {
         let passed = self.cold_gate.pass(cold_wait).await;
         passed.map_err(ExchangeError::Cold)?;
         if self.zone_gate.is_closed() {
@@ -282,11 +282,11 @@
     }
 
     /// Returns how a message waits for a permit to be sent to a cold server.
-    fn cold_wait(&self, request: &ServerRequest<'_>) -> Patience {
+    fn cold_wait(&self, request: &ServerRequest<'_>) -> PermitWait {
         match request {
-            _ if self.state != TransactionState::Idle => Patience::Transaction,
-            _ if self.is_prepared || is_control_request(request) => Patience::Prepared,
-            _ => Patience::Refused,
+            _ if self.state != TransactionState::Idle => PermitWait::Transaction,
+            _ if self.is_prepared || is_control_request(request) => PermitWait::Prepared,
+            _ => PermitWait::Refused,
         }
     }
 
--- a/crates/spurpier-pipeline/src/server/pool/mod.rs
+++ b/crates/spurpier-pipeline/src/server/pool/mod.rs
@@ -23,7 +23,7 @@
 use self::opening::Opening;
 use super::connection::{OpenError, ServerConnection, Values};
 use crate::clock::Clock;
-use crate::places::{ColdGate, ZoneGate};
+use crate::locality::{ColdGate, ZoneGate};
 use crate::ports::{ErrorClass, ServerDialect};
 use crate::tenant::UNNAMED_CALLER;
 
--- a/crates/spurpier-pipeline/src/session/statements.rs
+++ b/crates/spurpier-pipeline/src/session/statements.rs
@@ -9,7 +9,7 @@
 use super::state::{Prepared, SessionState};
 use crate::forward::{RoutedTransaction, run_single};
 use crate::ports::{Answer, Effect, ErrorClass, Request, Statement, TransactionState};
-use crate::quota::{self, OperationLeave, Refused};
+use crate::quota::{self, OperationPermit, Refused};
 use crate::tenant::AdmissionError;
 use crate::unit::{ClientStatement, Deadlines, NotRun, PreparedExecution, Unit, UnitResult};
 
@@ -112,7 +112,7 @@
             Ok(unit) => unit,
             Err(denied) => return Answer::denied(denied),
         };
-        let leave = match self.take_leave(&unit, &work).await {
+        let leave = match self.acquire_permit(&unit, &work).await {
             Ok(leave) => leave,
             Err(answer) => return answer,
         };
@@ -126,7 +126,7 @@
             Ok(unit) => unit,
             Err(denied) => return Answer::denied(denied),
         };
-        let leave = match self.take_leave(&unit, &work).await {
+        let leave = match self.acquire_permit(&unit, &work).await {
             Ok(leave) => leave,
             Err(answer) => return answer,
         };
@@ -138,11 +138,11 @@
 
     /// Takes the leave that an operation of a tenant with a bounded rate needs; gives the answer of
     /// one that must not start.
-    async fn take_leave(
+    async fn acquire_permit(
         &self,
         unit: &Unit,
         work: &ClientStatement,
-    ) -> Result<Option<OperationLeave>, Answer> {
+    ) -> Result<Option<OperationPermit>, Answer> {
         let Some(tenant) = &unit.caller.tenant else {
             return Ok(None);
         };
@@ -151,16 +151,16 @@
             return Ok(None);
         };
         let until = unit.deadlines.wait_until;
-        let taken = quota::take_leave(&self.context, tenant, quota, until).await;
+        let taken = quota::acquire_permit(&self.context, tenant, quota, until).await;
         let refuse = |refused: Refused| unit.refuse(&work.id, NotRun::from(refused));
         taken.map(Some).map_err(refuse)
     }
 
     /// Gives a leave back if the operation has not run.
-    fn settle_leave(&self, leave: Option<OperationLeave>, answer: &Answer) {
+    fn settle_leave(&self, leave: Option<OperationPermit>, answer: &Answer) {
         let is_not_run = answer.error_class().is_some_and(ErrorClass::is_not_run);
         if let Some(leave) = leave.filter(|_| is_not_run) {
-            quota::put_back(&self.context, leave);
+            quota::return_permit(&self.context, leave);
         }
     }
 
--- a/crates/spurpier-pipeline/src/unit/attempt.rs
+++ b/crates/spurpier-pipeline/src/unit/attempt.rs
@@ -10,7 +10,7 @@
 use super::Unit;
 use super::statement::ClientStatement;
 use crate::clock::Clock;
-use crate::places::NoLeave;
+use crate::locality::NoLeave;
 use crate::ports::{Answer, ErrorClass, ServerRequest};
 use crate::server::{ExchangeError, Lease, Server, ServerConnection, Values};
 
--- a/crates/spurpier-pipeline/src/unit/eligibility.rs
+++ b/crates/spurpier-pipeline/src/unit/eligibility.rs
@@ -4,7 +4,7 @@
 
 use super::Unit;
 use crate::homes::{ChosenNodes, PeerNode};
-use crate::places::Bar;
+use crate::locality::Bar;
 use crate::ports::Effect;
 
 /// How long a read waits for replicas to catch up before it tries them again.
@@ -13,16 +13,16 @@
 impl Unit {
     /// Whether the unit may be forwarded to another node.
     pub fn may_run_on(&self, peer: &PeerNode) -> bool {
-        let places = &self.context.places;
-        places.allows(&self.allowed_regions, &peer.zone)
+        let locality = &self.context.locality;
+        locality.allows(&self.allowed_regions, &peer.zone)
     }
 
     /// Returns the zone whose nearby homes are tried first for units that need not run on the
     /// leader: this node's own zone, or else the zone of the nearest home that may run the unit.
     pub fn nearest_zone(&self, homes: &ChosenNodes) -> String {
         let own = &self.context.settings.node.zone;
-        let places = &self.context.places;
-        if places.allows(&self.allowed_regions, own) {
+        let locality = &self.context.locality;
+        if locality.allows(&self.allowed_regions, own) {
             return own.clone();
         }
         let nearest = homes.others.iter().find(|home| self.may_run_on(home));
@@ -33,7 +33,7 @@
     /// is moved if much of the demand is not allowed to run in its region.
     pub fn count_demand(&self, effect: Effect) {
         if self.needs_leader(effect) {
-            let demand = &self.context.places.demand;
+            let demand = &self.context.locality.demand;
             demand.count(&self.group.name, &self.allowed_regions);
         }
     }
@@ -61,7 +61,7 @@
         let now = context.clock.now();
         let leader = self.group.lead_candidate(now, context.leaving_use())?;
         context
-            .places
+            .locality
             .bar_to_lead(&self.allowed_regions, &leader, now)
     }
 
--- a/crates/spurpier-pipeline/src/unit/leader.rs
+++ b/crates/spurpier-pipeline/src/unit/leader.rs
@@ -14,7 +14,7 @@
 use crate::context::Context;
 use crate::events;
 use crate::group::Group;
-use crate::places::Bar;
+use crate::locality::Bar;
 use crate::ports::{ErrorClass, ServerRequest, TransactionState};
 use crate::server::{AcquireError, ConnectionNeed, OpenError, Server, Values};
 
@@ -56,7 +56,7 @@
             .filter(|_| context.holds_lease(group));
         let mut missing = NotRun::NoLeader;
         if let Some(server) = candidate.filter(|server| is_responsive(server, clock.now())) {
-            if let Some(bar) = context.places.bar_to_lead(allowed, &server, clock.now()) {
+            if let Some(bar) = context.locality.bar_to_lead(allowed, &server, clock.now()) {
                 return Err(NotRun::Barred(bar));
             }
             match server.pool.acquire(need, until).await {
--- a/crates/spurpier-pipeline/src/unit/mod.rs
+++ b/crates/spurpier-pipeline/src/unit/mod.rs
@@ -39,7 +39,7 @@
 use crate::forward::{WireAnswer, millis};
 use crate::group::Group;
 use crate::homes::PeerNode;
-use crate::places::{Bar, NoLeave};
+use crate::locality::{Bar, NoLeave};
 use crate::ports::{Answer, Effect, ErrorClass, FreshnessKind, Route, TransactionState};
 use crate::quota::Refused;
 use crate::server::{ConnectionNeed, Server, Values};
--- a/crates/spurpier-pipeline/src/unit/read.rs
+++ b/crates/spurpier-pipeline/src/unit/read.rs
@@ -12,7 +12,7 @@
 use super::leader::renew_proof;
 use super::statement::ClientStatement;
 use super::{NotRun, Unit, UnitResult};
-use crate::places::Bar;
+use crate::locality::Bar;
 use crate::ports::{Answer, ErrorClass, TransactionState};
 use crate::server::{AcquireError, OpenError, Server};
 
@@ -223,8 +223,8 @@
 
     /// Returns the reason why a read must not use a server now, or `None` if it may.
     pub(super) fn bar_to_read(&self, server: &Server, now: Timestamp) -> Option<Bar> {
-        let places = &self.context.places;
-        places.bar_to_read(&self.allowed_regions, server, now)
+        let locality = &self.context.locality;
+        locality.bar_to_read(&self.allowed_regions, server, now)
     }
 
     /// Returns the reason why no server can be tried: the bar if each server that is not leaving is
--- a/crates/spurpier-pipeline/src/unit/transaction.rs
+++ b/crates/spurpier-pipeline/src/unit/transaction.rs
@@ -10,7 +10,7 @@
 use super::read::after;
 use super::statement::ClientStatement;
 use super::{NotRun, Unit, UnitResult};
-use crate::places::Bar;
+use crate::locality::Bar;
 use crate::ports::{Answer, ErrorClass, TransactionState};
 use crate::server::ExchangeError;
 
@@ -46,7 +46,7 @@
         };
         match opened {
             Ok(leased) => {
-                let open = &unit.context.places.open_transactions;
+                let open = &unit.context.locality.open_transactions;
                 let transaction = OpenTransaction {
                     leased: open.hold(leased),
                     unit,
