--- a/crates/spurpier-pipeline/src/locality/closing.rs
+++ b/crates/spurpier-pipeline/src/locality/closing.rs
@@ -1,4 +1,4 @@
-//! Giving up what this node holds at the servers of a zone once nothing more may be sent there.
+//! Closes this node's connections and transactions in a zone once nothing more may be sent there.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use crate::events;
 use crate::server::Server;
 
-/// Closes evacuated zones when their time has come; never returns.
+/// Closes each evacuated zone at its closing time. Never returns.
 pub async fn close_evacuated(context: Arc<Context>) {
     let evacuations = &context.locality.evacuations;
     let mut changes = evacuations.changes();
@@ -34,7 +34,7 @@
 }
 
 async fn wait(context: &Context, changes: &mut watch::Receiver<u64>, until: Option<Timestamp>) {
-    // The sender lives as long as the context; either way the zones are looked at again.
+    // The sender lives as long as the context. In either case the zones are checked again.
     match until {
         Some(until) => {
             let until = context.clock.instant(until);
@@ -46,8 +46,8 @@
     }
 }
 
-/// Closes unused connections to a zone's servers, and those of transactions that rest. A server that
-/// sees its connection closed drops the transaction; nothing has to be sent for that.
+/// Closes unused connections to a zone's servers, and those of idle transactions. A server drops the
+/// transaction of a closed connection, so nothing has to be sent.
 fn close(context: &Context, zone: &str) {
     let transactions = context.locality.open_transactions.close_in_zone(zone);
     log_event!(
--- a/crates/spurpier-pipeline/src/locality/gate.rs
+++ b/crates/spurpier-pipeline/src/locality/gate.rs
@@ -1,4 +1,4 @@
-//! What may be sent to the servers of one zone, as each of their connections asks before it sends.
+//! Decides what may be sent to the servers of one zone. Each connection checks before it sends.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -9,25 +9,24 @@
 
 use crate::clock::Clock;
 
-/// The closing of a zone that is not evacuated.
+/// The closing time of a zone that is not evacuated.
 const NEVER: u64 = u64::MAX;
 
 /// The gate in front of a zone's servers.
 ///
-/// A statement may wait between the choice of a server and its sending: for a connection, for the
-/// session's values, for a transaction to be opened. So the gate is asked at the sending.
+/// A statement may wait between server selection and sending: for a connection, for the session's
+/// values, for a transaction to be opened. So the gate is checked when the statement is sent.
 #[derive(Debug)]
 pub struct ZoneGate {
     clock: Clock,
     /// When it closes, in microseconds of the clock.
     closes_at: AtomicU64,
-    /// The bits of the store's version as of which the zone was last known to be taken back; 0 before
-    /// any.
+    /// The encoded store version at which the zone was last known to be reopened; 0 before that.
     taken_back_at: AtomicU64,
 }
 
 impl ZoneGate {
-    /// An open gate.
+    /// Creates an open gate.
     pub fn new(clock: Clock) -> Self {
         ZoneGate {
             clock,
@@ -36,26 +35,26 @@
         }
     }
 
-    /// Takes in from when on nothing may be sent; none if the zone is not evacuated.
+    /// Sets the time from which nothing may be sent; `None` if the zone is not evacuated.
     pub fn set(&self, closes_at: Option<Timestamp>) {
         let closes_at = closes_at.map_or(NEVER, Timestamp::as_micros);
         self.closes_at.store(closes_at, Ordering::Relaxed);
     }
 
-    /// Takes in the store's version as of which the zone was last known to be taken back.
+    /// Sets the store version at which the zone was last known to be reopened.
     pub fn set_taken_back_at(&self, version: StoreVersion) {
         self.taken_back_at
             .store(version.to_bits(), Ordering::Release);
     }
 
-    /// The store's version up to which the servers' entries must be known before a server of the
-    /// zone is used that may have turned cold; none while nothing is known of evacuations.
+    /// The store version up to which server entries must be known before the zone's servers are
+    /// used, because one may have turned cold; `None` while no evacuations are known.
     pub fn taken_back_at(&self) -> Option<StoreVersion> {
         let version = StoreVersion::from_bits(self.taken_back_at.load(Ordering::Acquire));
         (version > StoreVersion::NONE).then_some(version)
     }
 
-    /// For how long something may still be sent; none if the zone is not evacuated.
+    /// The time left until nothing more may be sent; `None` if the zone is not evacuated.
     pub fn closes_in(&self) -> Option<Duration> {
         match self.closes_at.load(Ordering::Relaxed) {
             NEVER => None,
--- a/crates/spurpier-pipeline/src/quota/authority_client.rs
+++ b/crates/spurpier-pipeline/src/quota/authority_client.rs
@@ -1,4 +1,4 @@
-//! Asking the authority of one scope, which is a vote for it.
+//! Requests permits from the authority of one scope. Each request is also a vote for it.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -12,30 +12,30 @@
 use crate::forward::{Call, CallOutcome, Reply};
 use crate::homes::PeerNode;
 
-/// How often a node votes for the authority of its zone: twice within the life of a vote.
+/// Interval between votes for the authority of the own zone: two within the TTL of a vote.
 const ZONE_VOTE_INTERVAL: Duration = Duration::from_millis(1_200);
-/// How often a question is asked whose authority knows no vote of this node yet: the first tells the
-/// node a moment of the authority's clock, and the second is a vote.
+/// Requests sent to an authority that has no vote of this node yet: the first response carries the
+/// time of the authority's clock, and the second request counts as a vote.
 const VOTE_ATTEMPTS: usize = 2;
 
-/// A node's way to the authority of a scope.
+/// Selects the authority of a scope and sends it this node's requests.
 #[derive(Debug)]
 pub struct AuthorityClient {
     scope: Scope,
     selector: Mutex<AuthoritySelector>,
 }
 
-/// How a question ended.
+/// How a request ended.
 enum RequestOutcome {
     Answered(PermitResponse),
-    /// The authority is about to end and gives nothing more.
+    /// The authority is shutting down and grants nothing more.
     Departed,
-    /// No answer came.
+    /// No response came in time.
     Unanswered,
 }
 
 impl AuthorityClient {
-    /// One that has asked nobody.
+    /// Creates a client that has selected no authority yet.
     pub fn new(scope: Scope) -> Self {
         let vote_ttl = match scope {
             Scope::Shard(_) => VOTE_TTL,
@@ -47,29 +47,29 @@
         }
     }
 
-    /// Votes for the authority of the zone while tenants have quotas; never returns.
+    /// Votes for the authority of the zone while tenants have quotas. Never returns.
     pub async fn vote(self: Arc<Self>, context: Arc<Context>) {
         loop {
             sleep(ZONE_VOTE_INTERVAL).await;
             if self.is_vote_due(&context, ZONE_VOTE_INTERVAL) {
-                // A vote that is lost is followed by the next one within its life.
+                // After a lost vote the next one comes within the TTL of the previous vote.
                 let _ = self.request(&context, &PermitDemands::new()).await;
             }
         }
     }
 
-    /// Whether there is anything to count and the authority was not asked for so long.
+    /// Whether the scope is in use and no request was sent for `interval`.
     pub fn is_vote_due(&self, context: &Context, interval: Duration) -> bool {
         let asked_for = self.selector().time_since_request(context.clock.now());
         Quotas::is_used(context, self.scope) && asked_for.is_none_or(|time| time >= interval)
     }
 
-    /// Asks the authority; none if no answer comes.
+    /// Sends a request to the authority; `None` if no response comes.
     pub async fn request(&self, context: &Context, demands: &PermitDemands) -> Option<Granted> {
         let limit = context.clock.instant(context.clock.now() + PERMIT_TTL);
         context.homes.await_list(limit).await;
         let ranked = context.homes.authorities(self.scope);
-        // An authority that is about to end says so, and the next one is asked at once.
+        // An authority that is shutting down reports it, and the next one is asked at once.
         for _ in 0..ranked.len() + VOTE_ATTEMPTS {
             let authority = self.select_authority(context, &ranked)?;
             let asked_at = context.clock.now();
@@ -84,7 +84,7 @@
                             asked_at,
                         });
                     }
-                    // The next question is a vote, and may be the one that is missing.
+                    // The next request counts as a vote, which may complete the majority.
                 }
                 RequestOutcome::Departed => self.selector().record_departure(&authority.name),
                 RequestOutcome::Unanswered => return None,
--- a/crates/spurpier-pipeline/src/quota/messages.rs
+++ b/crates/spurpier-pipeline/src/quota/messages.rs
@@ -1,4 +1,4 @@
-//! What nodes say to each other about leaves.
+//! The messages by which nodes request and grant operation permits.
 
 use std::time::Duration;
 
@@ -10,18 +10,18 @@
 use super::Scope;
 use crate::forward::{duration, millis};
 
-/// A node's question to an authority, which is its vote as well.
+/// A node's permit request to an authority. It also counts as the node's vote for that authority.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
 pub struct PermitRequest {
-    /// For whom the authority counts.
+    /// The scope whose operations the authority counts.
     pub scope: Scope,
-    /// The name of the node that asks.
+    /// The name of the requesting node.
     pub voter: String,
     sent_after: Option<EncodedTimestamp>,
     demands: List<EncodedDemand>,
 }
 
-/// [`AuthorityTimestamp`] as a message carries it.
+/// [`AuthorityTimestamp`] as encoded in a message.
 #[derive(Debug, Clone, Copy, PartialEq, SerBin, DeBin)]
 struct EncodedTimestamp {
     incarnation: u64,
@@ -56,7 +56,7 @@
 }
 
 impl PermitRequest {
-    /// A question for these tenants; without any it is a vote alone.
+    /// Creates a request for these tenants. Without tenants it is only a vote.
     pub fn new<'a>(
         scope: Scope,
         voter: &str,
@@ -78,12 +78,12 @@
         }
     }
 
-    /// A moment of the authority's clock after which it was sent.
+    /// A time on the authority's clock after which the request was sent.
     pub fn sent_after(&self) -> Option<AuthorityTimestamp> {
         self.sent_after.map(AuthorityTimestamp::from)
     }
 
-    /// What is asked for each tenant.
+    /// The permit demand of each tenant.
     pub fn into_demands(self) -> impl Iterator<Item = (String, PermitDemand)> {
         self.demands.0.into_iter().map(|demand| {
             let rate = QuotaRate {
@@ -100,10 +100,10 @@
     }
 }
 
-/// An authority's answer: a grant for each tenant of the question, in its order.
+/// An authority's response: one grant per tenant of the request, in the same order.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
 pub struct PermitResponse {
-    /// Whether it has the votes of most nodes.
+    /// Whether the authority has the votes of a majority of the nodes.
     pub has_majority: bool,
     stamp: EncodedTimestamp,
     grants: List<EncodedGrant>,
@@ -116,7 +116,7 @@
 }
 
 impl PermitResponse {
-    /// An answer with these grants.
+    /// Creates a response with these grants.
     pub fn new(has_majority: bool, stamp: AuthorityTimestamp, grants: &[Grant]) -> Self {
         let grants = grants.iter().map(|grant| EncodedGrant {
             permits: grant.permits,
@@ -129,12 +129,12 @@
         }
     }
 
-    /// The moment of the authority's clock at which it answered.
+    /// The time on the authority's clock at which it responded.
     pub fn stamp(&self) -> AuthorityTimestamp {
         AuthorityTimestamp::from(self.stamp)
     }
 
-    /// The grants.
+    /// The grants, in the order of the requested tenants.
     pub fn grants(&self) -> impl Iterator<Item = Grant> {
         self.grants.0.iter().map(|grant| {
             let retry_after: Duration = duration(grant.retry_after_ms);
--- a/crates/spurpier-pipeline/src/quota/mod.rs
+++ b/crates/spurpier-pipeline/src/quota/mod.rs
@@ -1,8 +1,8 @@
-//! Permits to start operations of tenants whose rate is bounded.
+//! Permits to start operations of tenants whose rate is limited.
 //!
-//! The decisions are [`spurpier_core::quota`]'s. Tenants are spread over a few seats; for each seat
-//! every node ranks the same nodes, and asks the first one that it reaches. Where none of them
-//! answers for most nodes, the authority of the node's own zone is asked.
+//! [`spurpier_core::quota`] makes the decisions. Tenants are divided into a few quota shards. For
+//! each shard every node ranks the same nodes, and asks the first reachable one. If none of them
+//! responds with the votes of a majority, the authority of the node's own zone is asked.
 
 mod authority_client;
 mod messages;
@@ -33,37 +33,38 @@
 use crate::ports::Quota;
 use crate::settings::PipelineSettings;
 
-/// Seats over which tenants are spread: as many nodes count operations. Each question of a node
-/// goes to one of them, so that of 59 nodes with 1,200 operations a second each of four answers 300
-/// questions a second.
+/// Number of quota shards for tenants, and so of nodes that count operations. Each request goes to
+/// one of them: with 59 nodes and 1,200 operations per second, each of the four authorities answers
+/// 300 requests per second.
 const TENANT_SHARDS: u8 = 4;
-/// Seats of cold servers, behind those of tenants: they are few, and cold for seconds.
+/// Number of quota shards for cold servers, numbered after those of tenants. One is enough, because
+/// few servers are cold at a time, and only for seconds.
 const COLD_SERVER_SHARDS: u8 = 1;
-/// What a client is told to wait when no authority can be asked.
+/// Retry delay returned to a client when no authority can be reached.
 const NO_AUTHORITY_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Whom an authority counts for.
+/// The operations that an authority counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, SerBin, DeBin)]
 pub enum Scope {
-    /// All nodes, for the tenants of a seat.
+    /// Those of all nodes, for the tenants of a quota shard.
     Shard(u8),
-    /// The nodes of its zone, for all tenants.
+    /// Those of the nodes of its zone, for all tenants.
     Zone,
 }
 
 /// Why an operation may not start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refused {
-    /// The tenant is at its limit for so long.
+    /// The tenant is at its limit; the time until a retry may succeed.
     OverQuota(Duration),
-    /// No authority has answered; one may within this time.
+    /// No authority has responded; the time after which one may.
     NoAuthority(Duration),
 }
 
-/// A tenant's bound, as a configuration has it.
+/// A tenant's rate limit in a configuration.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TenantQuota {
-    /// The bound.
+    /// The rate limit.
     pub quota: Quota,
     /// The version of the configuration.
     pub version: u64,
@@ -78,21 +79,21 @@
     }
 }
 
-/// The leaves of this node's clients, and what it counts for others: the operations of tenants, or
-/// what is sent to cold servers, which stand in the place of tenants then.
+/// This node's permits, and what it counts as an authority: the operations of tenants, or the
+/// messages to cold servers, which are then counted as if each server were a tenant.
 #[derive(Debug)]
 pub struct Quotas {
     permit_cache: Mutex<PermitCache>,
     shards: Vec<Arc<QuotaShard>>,
     authorities: Mutex<HashMap<u8, Authority>>,
-    /// The zone's own part, which is used while most nodes cannot be asked.
+    /// The zone's own allowance, used while no authority has a majority of the nodes.
     zone: Option<ZoneQuota>,
     bound: QuotaBound,
-    /// Tells this process's life from others of the node.
+    /// Distinguishes this process from earlier incarnations of the node.
     incarnation: u64,
 }
 
-/// What a zone counts by itself.
+/// The authority of the own zone, and this node's client for it.
 #[derive(Debug)]
 struct ZoneQuota {
     authority_client: Arc<AuthorityClient>,
@@ -100,7 +101,7 @@
 }
 
 impl Quotas {
-    /// No leaves of tenants, and nothing counted.
+    /// Creates the quotas of tenants, without permits and with nothing counted.
     pub fn new(settings: &PipelineSettings) -> Self {
         let bounds = &settings.bounds;
         let bound = QuotaBound {
@@ -118,8 +119,8 @@
         quotas
     }
 
-    /// As [`Quotas::new`], for what is sent to cold servers. Their bound has no slack that zones
-    /// could divide.
+    /// Creates the quotas of messages to cold servers. They have no zone authority, because their
+    /// limit has no slack that zones could divide.
     pub fn for_cold_servers() -> Self {
         Self::with_shards(
             TENANT_SHARDS..TENANT_SHARDS + COLD_SERVER_SHARDS,
@@ -140,7 +141,7 @@
         }
     }
 
-    /// What counts for a scope.
+    /// The quotas that a scope belongs to.
     fn for_scope(context: &Context, scope: Scope) -> &Self {
         match scope {
             Scope::Shard(shard) if shard >= TENANT_SHARDS => &context.cold.permits,
@@ -148,7 +149,7 @@
         }
     }
 
-    /// Whether there is anything to count for a scope.
+    /// Whether a scope has anything to count.
     fn is_used(context: &Context, scope: Scope) -> bool {
         match scope {
             Scope::Shard(shard) if shard >= TENANT_SHARDS => {
@@ -160,16 +161,16 @@
         }
     }
 
-    /// For how long it is known that no leave is to be had; none if one may be.
+    /// The time for which no permit is known to be available; `None` if one may be.
     pub fn limited_for(&self, subject: &str, now: Timestamp) -> Option<Duration> {
         self.permit_cache().limited_for(subject, now)
     }
 
-    /// Takes a leave for an operation on a subject, at most until `until`.
+    /// Acquires a permit for an operation on a tenant or cold server, waiting until `until` at most.
     ///
     /// # Errors
     ///
-    /// [`Refused`], at once where that is known already.
+    /// [`Refused`], without waiting if the refusal is already known.
     pub async fn acquire(
         &self,
         clock: &Clock,
@@ -199,8 +200,8 @@
         &self.shards[(digest % self.shards.len() as u64) as usize]
     }
 
-    /// Answers a node's question, when so many nodes are listed that may ask; none if this node
-    /// does not count for the scope.
+    /// Answers a node's request, given the number of nodes that may vote; `None` if this node does
+    /// not count for the scope.
     fn answer(
         &self,
         request: PermitRequest,
@@ -260,18 +261,18 @@
     }
 }
 
-/// The leave of an operation; given back if the operation has not run.
+/// The permit of a tenant's operation, to be returned if the operation has not run.
 #[derive(Debug)]
 pub struct OperationPermit {
     tenant: Arc<str>,
     permit: Permit,
 }
 
-/// Takes a leave for an operation of a tenant, at most until `until`.
+/// Acquires a permit for an operation of a tenant, waiting until `until` at most.
 ///
 /// # Errors
 ///
-/// [`Refused`], at once where that is known already.
+/// [`Refused`], without waiting if the refusal is already known.
 pub async fn acquire_permit(
     context: &Context,
     tenant: &Arc<str>,
@@ -295,15 +296,15 @@
     answered.map_err(|_| unreached)?.map_err(|_| unreached)?
 }
 
-/// Takes back the leave of an operation that has not run.
+/// Returns the permit of an operation that has not run to the cache.
 pub fn return_permit(context: &Context, permit: OperationPermit) {
     let now = context.clock.now();
     let mut permit_cache = context.quotas.permit_cache();
     permit_cache.return_unused(&permit.tenant, permit.permit, now);
 }
 
-/// Answers another node's question; none if this node is about to end, so that votes for it are
-/// void, or does not count for the scope.
+/// Answers a permit request; `None` if this node is shutting down, which voids the votes for it, or
+/// does not count for the scope.
 pub fn answer_permit_request(context: &Context, request: PermitRequest) -> Option<PermitResponse> {
     if context.draining.is_cancelled() {
         return None;
@@ -313,7 +314,7 @@
     quotas.answer(request, nodes, context.clock.now())
 }
 
-/// Starts asking the authorities of all seats for what clients wait for, and voting in the zone.
+/// Starts the tasks that request permits for all quota shards and that vote in the zone.
 pub fn start_quota_shards(context: &Arc<Context>) {
     if let Some(zone) = &context.quotas.zone {
         tokio::spawn(Arc::clone(&zone.authority_client).vote(Arc::clone(context)));
--- a/crates/spurpier-pipeline/src/quota/shard.rs
+++ b/crates/spurpier-pipeline/src/quota/shard.rs
@@ -1,4 +1,4 @@
-//! One seat: the operations that wait for its authority.
+//! One quota shard: batches the operations that wait for its authority.
 
 use std::pin::pin;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,21 +13,22 @@
 use super::{NO_AUTHORITY_RETRY_DELAY, Quotas, Refused, Scope, TenantQuota};
 use crate::context::Context;
 
-/// How often a node votes that has nothing to ask: twice within the life of a vote.
+/// Interval between votes of a node that needs no permits: two within the TTL of a vote.
 const VOTE_INTERVAL: Duration = Duration::from_millis(300);
-/// How often it looks whether that is due.
+/// Interval between checks whether a vote is due.
 const VOTE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often a question is asked again whose authority has no majority yet, and after what pause:
-/// when all nodes start together the votes of most come within 150 ms, and a client that waits so
-/// long is better off than one that is refused.
+/// Retries of a request whose authority has no majority yet. When all nodes start together, the
+/// votes of a majority arrive within 150 ms, and waiting that long is better for a client than a
+/// refusal.
 const MINORITY_RETRIES: usize = 3;
+/// Delay before each of the [`MINORITY_RETRIES`].
 const MINORITY_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// After so long without an answer the authority of the zone is asked as well: two and a half times
-/// the way to another region and back, and less than the fifth of a target for which a client waits.
+/// Time without a response after which the authority of the zone is asked as well: two and a half
+/// round trips to another region, and less than the fifth of a target for which a client waits.
 const ZONE_DELAY: Duration = Duration::from_millis(100);
 
-/// One seat.
+/// A part of the tenants, or the cold servers, with its own quota authority.
 #[derive(Debug)]
 pub struct QuotaShard {
     scope: Scope,
@@ -37,7 +38,7 @@
 }
 
 impl QuotaShard {
-    /// A seat that nobody has asked for.
+    /// Creates a shard without waiting operations.
     pub fn new(index: u8) -> Self {
         let scope = Scope::Shard(index);
         QuotaShard {
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Has the authority asked for one more operation of a tenant.
+    /// Queues one operation of a tenant for the next request to the authority.
     pub fn request(
         &self,
         tenant: &Arc<str>,
@@ -59,7 +60,7 @@
         receiver
     }
 
-    /// Asks whenever operations wait, and votes in between; never returns.
+    /// Requests permits whenever operations wait, and votes in between. Never returns.
     pub async fn run(self: Arc<Self>, context: Arc<Context>) {
         loop {
             let is_wanted = timeout(VOTE_CHECK_INTERVAL, self.wanted.notified())
@@ -74,8 +75,8 @@
         }
     }
 
-    /// Asks for all that wait, and tells each how it ended. Where the authority of all nodes does
-    /// not answer in time or for most of them, that of the zone is asked.
+    /// Requests permits for all waiting operations and notifies each of the outcome. If the
+    /// authority of all nodes does not respond in time or lacks a majority, asks that of the zone.
     async fn request_permits(&self, context: &Context, mut waiting: WaitingOperations) {
         let quotas = Quotas::for_scope(context, self.scope);
         let demands = waiting.demands();
@@ -94,7 +95,7 @@
         waiting.refuse(Refused::NoAuthority(NO_AUTHORITY_RETRY_DELAY));
     }
 
-    /// Asks until the authority has a majority, but not for long; none if it has not.
+    /// Retries until the authority has a majority; `None` if it has none after the last retry.
     async fn request_until_majority(
         &self,
         context: &Context,
@@ -115,7 +116,7 @@
     }
 }
 
-/// Asks the authority of the zone for those that still wait, and tells those that it lets start.
+/// Requests permits from the authority of the zone for the operations that still wait.
 async fn request_from_zone(context: &Context, quotas: &Quotas, waiting: &mut WaitingOperations) {
     let Some(zone) = &quotas.zone else {
         return;
--- a/crates/spurpier-pipeline/src/quota/waiting.rs
+++ b/crates/spurpier-pipeline/src/quota/waiting.rs
@@ -1,4 +1,4 @@
-//! The operations that wait for leaves.
+//! Operations that wait for permits.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,37 +10,37 @@
 
 use super::{PermitResponse, Quotas, Refused, Scope, TenantQuota};
 
-/// What is asked for each tenant.
+/// The permit demand of each tenant.
 pub type PermitDemands = Vec<(Arc<str>, PermitDemand)>;
 
-/// Who waits for leaves of one tenant.
+/// The operations of one tenant that wait for permits.
 #[derive(Debug)]
 struct TenantWaiters {
     quota: TenantQuota,
     senders: Vec<oneshot::Sender<Result<Permit, Refused>>>,
-    /// What those are told that get no leave.
+    /// The reason returned to operations that get no permit.
     refused: Option<Refused>,
 }
 
-/// Whom to tell, by tenant.
+/// Waiting operations by tenant.
 #[derive(Debug, Default)]
 pub struct WaitingOperations {
     tenants: HashMap<Arc<str>, TenantWaiters>,
 }
 
-/// What an authority has granted.
+/// An authority's response to a permit request.
 #[derive(Debug)]
 pub struct Granted {
-    /// For whom it counts.
+    /// The scope that the authority counts for.
     pub scope: Scope,
-    /// Its answer.
+    /// The response.
     pub answer: PermitResponse,
-    /// When it was asked.
+    /// When the request was sent.
     pub asked_at: Timestamp,
 }
 
 impl WaitingOperations {
-    /// Adds one operation of a tenant.
+    /// Adds one operation of a tenant. The receiver gets its permit or the reason for a refusal.
     pub fn add(
         &mut self,
         tenant: &Arc<str>,
@@ -58,7 +58,7 @@
         receiver
     }
 
-    /// What to ask for those whose clients still wait.
+    /// Drops operations whose clients have gone, and returns the demand of the others.
     pub fn demands(&mut self) -> PermitDemands {
         self.tenants.retain(|_, waiters| {
             waiters.senders.retain(|sender| !sender.is_closed());
@@ -76,8 +76,8 @@
         demands.collect()
     }
 
-    /// Tells those of each tenant that were granted a leave, and keeps the others. A leave for
-    /// which nobody waits any more is kept for the tenant's next operation.
+    /// Hands granted permits to each tenant's waiting operations, and keeps the others waiting. A
+    /// permit without a waiting operation is cached for the tenant's next one.
     pub fn record_grants(
         &mut self,
         quotas: &Quotas,
@@ -88,8 +88,8 @@
         for ((tenant, demand), grant) in demands.iter().zip(granted.answer.grants()) {
             let (recorded, refused) = match granted.scope {
                 Scope::Shard(_) => (grant, Refused::OverQuota(grant.retry_after)),
-                // A zone's part that is used up tells nothing of the tenant's limit, for which the
-                // authority of all is asked again with the next operation.
+                // An exhausted zone allowance does not mean that the tenant is at its limit, so the
+                // next operation asks the authority of all nodes again.
                 Scope::Zone => (
                     without_delay(grant),
                     Refused::NoAuthority(grant.retry_after),
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Gives those that wait for a tenant their leaves; returns the leaves that nobody takes.
+    /// Hands permits to a tenant's waiting operations; returns the permits that are left over.
     fn distribute(&mut self, tenant: &str, permits: Vec<Permit>, refused: Refused) -> Vec<Permit> {
         let Some(waiters) = self.tenants.get_mut(tenant) else {
             return permits;
@@ -122,12 +122,12 @@
         unclaimed
     }
 
-    /// Tells all that still wait why they may not start: what the last authority said, or else this.
+    /// Refuses all operations that still wait, for the last authority's reason or else the default.
     pub fn refuse(self, default_reason: Refused) {
         for waiters in self.tenants.into_values() {
             let refused = waiters.refused.unwrap_or(default_reason);
             for sender in waiters.senders {
-                // A client that is gone needs no answer.
+                // A closed receiver means that the client has gone.
                 let _ = sender.send(Err(refused));
             }
         }
