--- a/crates/spurpier-pipeline/src/configuration/mod.rs
+++ b/crates/spurpier-pipeline/src/configuration/mod.rs
@@ -172,7 +172,7 @@
         let (evacuated, rows) = rows
             .into_iter()
             .partition::<Vec<Row>, _>(rows::is_evacuated);
-        self.0.locality.evacuations.take(
+        self.0.locality.evacuations.apply(
             &rows::evacuated_zones(&evacuated),
             known.version(Table::Configuration),
             known.told_before(Table::Configuration),
@@ -195,12 +195,12 @@
     /// Has zones taken back whose rows the store has lost, if the operator has not written them again
     /// in time.
     fn look_again_at_held(&self) {
-        let Some(held_until) = self.0.locality.evacuations.held_until() else {
+        let Some(retained_until) = self.0.locality.evacuations.retained_until() else {
             return;
         };
         let context = Arc::clone(&self.0);
         tokio::spawn(async move {
-            tokio::time::sleep_until(context.clock.instant(held_until)).await;
+            tokio::time::sleep_until(context.clock.instant(retained_until)).await;
             ConfigurationSink(context).put_known_into_force();
         });
     }
--- a/crates/spurpier-pipeline/src/directory/mod.rs
+++ b/crates/spurpier-pipeline/src/directory/mod.rs
@@ -249,7 +249,7 @@
             zone_gate: Arc::clone(&zone_gate),
             cold_gate: ColdGate::new(&context.cold, &entry, zone_gate),
         };
-        target.cold_gate.note_entry(entry.cold_for, version);
+        target.cold_gate.record_entry(entry.cold_for, version);
         let dialect = Arc::clone(&context.server_dialect);
         let limit = connection_share(context, &group.name, &entry.zone);
         let clock = context.clock.clone();
@@ -269,7 +269,10 @@
 
     fn update(&self, group: &Group, server: &Server, entry: ServerEntry, version: StoreVersion) {
         let (draining, role) = (entry.draining, entry.role);
-        server.pool.cold_gate().note_entry(entry.cold_for, version);
+        server
+            .pool
+            .cold_gate()
+            .record_entry(entry.cold_for, version);
         let begins_to_leave = {
             let mut listing = server.listing();
             listing.entry = entry;
--- a/crates/spurpier-pipeline/src/follow/mod.rs
+++ b/crates/spurpier-pipeline/src/follow/mod.rs
@@ -329,7 +329,7 @@
     /// Takes in that all rows up to a version have been taken in.
     fn note_taken_in(&mut self, version: StoreVersion, told_at: Timestamp) {
         if self.table == Table::Servers {
-            self.context.cold.note_entries_known_to(version);
+            self.context.cold.record_entries_known_to(version);
         }
         self.note_told(version, told_at);
     }
--- a/crates/spurpier-pipeline/src/locality/closing.rs
+++ b/crates/spurpier-pipeline/src/locality/closing.rs
@@ -57,16 +57,16 @@
     );
     for group in context.all_groups() {
         for server in group.servers() {
-            if stands_in(&server, zone) {
+            if is_in_zone(&server, zone) {
                 server.pool.close_idle();
             }
         }
-        if group.lead().is_some_and(|lead| stands_in(&lead, zone)) {
+        if group.lead().is_some_and(|lead| is_in_zone(&lead, zone)) {
             log_event!(events::EVACUATED_PRIMARY, group = group.name, zone = zone);
         }
     }
 }
 
-fn stands_in(server: &Server, zone: &str) -> bool {
+fn is_in_zone(server: &Server, zone: &str) -> bool {
     server.listing().entry.zone == zone
 }
--- a/crates/spurpier-pipeline/src/locality/cold.rs
+++ b/crates/spurpier-pipeline/src/locality/cold.rs
@@ -109,7 +109,7 @@
     }
 
     /// Takes in up to which version of the store the servers' entries are known and taken in.
-    pub fn note_entries_known_to(&self, version: StoreVersion) {
+    pub fn record_entries_known_to(&self, version: StoreVersion) {
         self.entries_known_to
             .fetch_max(version.to_bits(), Ordering::Release);
     }
@@ -142,7 +142,7 @@
 
 /// What was sent to a server while it was cold, since this was asked last.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct ColdUse {
+pub struct ColdTraffic {
     /// Messages that were sent.
     pub sent: u64,
     /// Messages that no leave was given for.
@@ -188,7 +188,7 @@
     }
 
     /// Takes in an entry of the server that has just come.
-    pub fn note_entry(self: &Arc<Self>, cold_for: Duration, version: StoreVersion) {
+    pub fn record_entry(self: &Arc<Self>, cold_for: Duration, version: StoreVersion) {
         let now = self.shared.clock.now();
         let was_cold = self.is_cold(now);
         let until = {
@@ -244,7 +244,7 @@
     fn awaits_entry(&self) -> bool {
         let known_to = &self.shared.entries_known_to;
         let known_to = StoreVersion::from_bits(known_to.load(Ordering::Acquire));
-        is_entry_outdated(self.zone_gate.taken_back_at(), known_to)
+        is_entry_outdated(self.zone_gate.reopened_at(), known_to)
     }
 
     /// For how long it is known that no leave is to be had; none if one may be.
@@ -261,8 +261,8 @@
     }
 
     /// What was sent while it was cold, since this was asked last.
-    pub fn take_uses(&self) -> ColdUse {
-        ColdUse {
+    pub fn take_uses(&self) -> ColdTraffic {
+        ColdTraffic {
             sent: self.sent.swap(0, Ordering::Relaxed),
             refused: self.refused.swap(0, Ordering::Relaxed),
         }
--- a/crates/spurpier-pipeline/src/locality/demand.rs
+++ b/crates/spurpier-pipeline/src/locality/demand.rs
@@ -14,7 +14,7 @@
 
 /// For how long the wish that a primary be moved holds after it was last told: a few of the looks
 /// of the node that tells it, so that it ends with that node.
-const WISH_VALIDITY: Duration = Duration::from_millis(2_500);
+const MOVE_REQUEST_TTL: Duration = Duration::from_millis(2_500);
 
 #[derive(Debug, Default)]
 struct GroupDemand {
@@ -22,7 +22,7 @@
     levels: DecayingDemand,
     policy: PrimaryMovePlanner,
     /// The region that the primary is to move to, and until when that holds.
-    wish: Option<(String, Timestamp)>,
+    move_request: Option<(String, Timestamp)>,
 }
 
 /// What is asked of the primaries, by group.
@@ -62,7 +62,7 @@
     }
 
     /// Takes in demand for a group, this node's own or what another node has told.
-    pub fn note(&self, group: &str, demand: &[RegionDemand], now: Timestamp) {
+    pub fn record(&self, group: &str, demand: &[RegionDemand], now: Timestamp) {
         let mut groups = self.lock();
         let known = groups.entry(group.to_owned()).or_default();
         known.levels.record(demand, now);
@@ -83,23 +83,23 @@
         let wanted = known
             .policy
             .decide(&known.levels, present, candidates, now)?;
-        let is_new = known.wish_at(now) != Some(wanted.as_str());
-        known.wish = Some((wanted.clone(), now + WISH_VALIDITY));
+        let is_new = known.move_request_at(now) != Some(wanted.as_str());
+        known.move_request = Some((wanted.clone(), now + MOVE_REQUEST_TTL));
         is_new.then_some(wanted)
     }
 
     /// Takes in that another node wants a group's primary in a region.
-    pub fn note_wish(&self, group: &str, region: String, now: Timestamp) {
+    pub fn record_move_request(&self, group: &str, region: String, now: Timestamp) {
         let mut groups = self.lock();
         let known = groups.entry(group.to_owned()).or_default();
-        known.wish = Some((region, now + WISH_VALIDITY));
+        known.move_request = Some((region, now + MOVE_REQUEST_TTL));
     }
 
     /// The region that a group's primary is to move to; none if it may stay where it is.
-    pub fn wish(&self, group: &str, now: Timestamp) -> Option<String> {
+    pub fn move_request(&self, group: &str, now: Timestamp) -> Option<String> {
         let groups = self.lock();
-        let wish = groups.get(group)?.wish_at(now)?;
-        Some(wish.to_owned())
+        let move_request = groups.get(group)?.move_request_at(now)?;
+        Some(move_request.to_owned())
     }
 
     /// What a primary in a region may run of the demand that this node knows of, in hundredths of
@@ -117,8 +117,8 @@
 }
 
 impl GroupDemand {
-    fn wish_at(&self, now: Timestamp) -> Option<&str> {
-        let (region, until) = self.wish.as_ref()?;
+    fn move_request_at(&self, now: Timestamp) -> Option<&str> {
+        let (region, until) = self.move_request.as_ref()?;
         (*until > now).then_some(region.as_str())
     }
 }
--- a/crates/spurpier-pipeline/src/locality/evacuations.rs
+++ b/crates/spurpier-pipeline/src/locality/evacuations.rs
@@ -18,7 +18,7 @@
 struct Inner {
     known: Evacuations,
     /// Zones whose rows the store has lost.
-    held: RetainedZones,
+    retained: RetainedZones,
     gates: BTreeMap<String, Arc<ZoneGate>>,
 }
 
@@ -37,27 +37,27 @@
             clock,
             inner: Mutex::new(Inner {
                 known: Evacuations::new(bound),
-                held: RetainedZones::default(),
+                retained: RetainedZones::default(),
                 gates: BTreeMap::new(),
             }),
             changed: watch::Sender::new(0),
         }
     }
 
-    /// Takes in which zones the store tells to be evacuated as of a version; `told_before` is up to when
+    /// Takes in which zones the store tells to be evacuated as of a version; `reported_before` is up to when
     /// it had told of the rows as they were known before.
-    pub fn take(
+    pub fn apply(
         &self,
-        told: &BTreeSet<String>,
+        reported: &BTreeSet<String>,
         version: StoreVersion,
-        told_before: Option<Timestamp>,
+        reported_before: Option<Timestamp>,
     ) {
         let mut inner = self.lock();
         let is_first = inner.known.first_version().is_none();
-        let zones = inner.with_held(told, version.era(), self.clock.now());
-        let changes = inner.known.apply(&zones, version, told_before);
+        let zones = inner.with_retained(reported, version.era(), self.clock.now());
+        let changes = inner.known.apply(&zones, version, reported_before);
         if is_first || !changes.reopened.is_empty() {
-            inner.note_taken_back();
+            inner.record_reopened();
         }
         if changes.is_empty() {
             return;
@@ -82,8 +82,8 @@
     }
 
     /// Until when zones stay evacuated whose rows the store has lost; none if there are none.
-    pub fn held_until(&self) -> Option<Timestamp> {
-        self.lock().held.retained_until()
+    pub fn retained_until(&self) -> Option<Timestamp> {
+        self.lock().retained.retained_until()
     }
 
     /// The gate in front of a zone's servers.
@@ -111,22 +111,22 @@
 }
 
 impl Inner {
-    fn with_held(
+    fn with_retained(
         &mut self,
-        told: &BTreeSet<String>,
+        reported: &BTreeSet<String>,
         era: StoreEra,
         now: Timestamp,
     ) -> BTreeSet<String> {
         let known = self.known.zones();
         let known = known.map(|(zone, _)| zone.to_owned());
-        self.held.with_retained(known, told, era, now)
+        self.retained.with_retained(known, reported, era, now)
     }
 
     /// Tells the gates when their zones were taken back: an entry from before may tell of a server
     /// that has turned cold since that it is warm.
-    fn note_taken_back(&mut self) {
+    fn record_reopened(&mut self) {
         for (zone, gate) in &self.gates {
-            gate.set_taken_back_at(self.known.reopened_at(zone).unwrap_or_default());
+            gate.set_reopened_at(self.known.reopened_at(zone).unwrap_or_default());
         }
     }
 
@@ -136,7 +136,7 @@
         }
         let gate = Arc::new(ZoneGate::new(clock.clone()));
         gate.set(self.known.closes_at(zone));
-        gate.set_taken_back_at(self.known.reopened_at(zone).unwrap_or_default());
+        gate.set_reopened_at(self.known.reopened_at(zone).unwrap_or_default());
         self.gates.insert(zone.to_owned(), Arc::clone(&gate));
         gate
     }
--- a/crates/spurpier-pipeline/src/locality/gate.rs
+++ b/crates/spurpier-pipeline/src/locality/gate.rs
@@ -22,7 +22,7 @@
     /// When it closes, in microseconds of the clock.
     closes_at: AtomicU64,
     /// The encoded store version at which the zone was last known to be reopened; 0 before that.
-    taken_back_at: AtomicU64,
+    reopened_at: AtomicU64,
 }
 
 impl ZoneGate {
@@ -31,7 +31,7 @@
         ZoneGate {
             clock,
             closes_at: AtomicU64::new(NEVER),
-            taken_back_at: AtomicU64::new(0),
+            reopened_at: AtomicU64::new(0),
         }
     }
 
@@ -42,15 +42,14 @@
     }
 
     /// Sets the store version at which the zone was last known to be reopened.
-    pub fn set_taken_back_at(&self, version: StoreVersion) {
-        self.taken_back_at
-            .store(version.to_bits(), Ordering::Release);
+    pub fn set_reopened_at(&self, version: StoreVersion) {
+        self.reopened_at.store(version.to_bits(), Ordering::Release);
     }
 
     /// The store version up to which server entries must be known before the zone's servers are
     /// used, because one may have turned cold; `None` while no evacuations are known.
-    pub fn taken_back_at(&self) -> Option<StoreVersion> {
-        let version = StoreVersion::from_bits(self.taken_back_at.load(Ordering::Acquire));
+    pub fn reopened_at(&self) -> Option<StoreVersion> {
+        let version = StoreVersion::from_bits(self.reopened_at.load(Ordering::Acquire));
         (version > StoreVersion::NONE).then_some(version)
     }
 
--- a/crates/spurpier-pipeline/src/locality/mod.rs
+++ b/crates/spurpier-pipeline/src/locality/mod.rs
@@ -182,13 +182,13 @@
         if lead.is_evacuated() {
             return Some(MoveReason::Evacuated);
         }
-        let wish = self.demand.wish(&group.name, now)?;
-        let stands_there = self.region(&lead.listing().entry.zone) == Some(wish.as_str());
-        (!stands_there).then_some(MoveReason::Demand)
+        let move_request = self.demand.move_request(&group.name, now)?;
+        let is_in_region = self.region(&lead.listing().entry.zone) == Some(move_request.as_str());
+        (!is_in_region).then_some(MoveReason::Demand)
     }
 
     /// Whether a server may become its group's primary at all, as far as places tell.
-    pub fn may_succeed(&self, server: &Server, _now: Timestamp) -> bool {
+    pub fn is_eligible_successor(&self, server: &Server, _now: Timestamp) -> bool {
         !server.is_evacuated()
     }
 
@@ -198,7 +198,7 @@
     /// A warm one goes first: a cold one is slow, and may take few requests. Then it counts the work
     /// that this node knows to be allowed there: what its own clients ask for, and what all do at
     /// the home that decides on moves.
-    pub fn fit(&self, group: &Group, server: &Server, now: Timestamp) -> u64 {
+    pub fn placement_score(&self, group: &Group, server: &Server, now: Timestamp) -> u64 {
         /// Above all demand.
         const WARM: u64 = 1 << 63;
         let region = self.region(&server.listing().entry.zone);
--- a/crates/spurpier-pipeline/src/promotion/demand.rs
+++ b/crates/spurpier-pipeline/src/promotion/demand.rs
@@ -29,7 +29,7 @@
         tokio::time::sleep(REPORT_INTERVAL).await;
         for (name, demand) in context.locality.demand.take_counts() {
             let now = context.clock.now();
-            context.locality.demand.note(&name, &demand, now);
+            context.locality.demand.record(&name, &demand, now);
             let homes = deciding_homes(&context, &name);
             let homes = homes.into_iter().take(MAX_CONTACTED_HOMES);
             let addresses: Vec<Option<SocketAddr>> = homes.map(peer_address).collect();
@@ -81,7 +81,9 @@
     let now = context.clock.now();
     let servers = group.servers();
     let may_succeed = servers.iter().filter(|server| {
-        server.is_staying() && !server.health().is_silent() && locality.may_succeed(server, now)
+        server.is_staying()
+            && !server.health().is_silent()
+            && locality.is_eligible_successor(server, now)
     });
     let regions = may_succeed.filter_map(|server| {
         locality
@@ -100,7 +102,10 @@
         let context = self.context();
         if context.known_group(group).is_some() {
             let now = context.clock.now();
-            context.locality.demand.note_wish(group, region, now);
+            context
+                .locality
+                .demand
+                .record_move_request(group, region, now);
         }
     }
 
@@ -113,7 +118,7 @@
         }
         let demand: Vec<RegionDemand> = reports.0.into_iter().map(RegionDemand::from).collect();
         let now = context.clock.now();
-        context.locality.demand.note(group, &demand, now);
+        context.locality.demand.record(group, &demand, now);
         true
     }
 
--- a/crates/spurpier-pipeline/src/promotion/evacuation.rs
+++ b/crates/spurpier-pipeline/src/promotion/evacuation.rs
@@ -54,7 +54,7 @@
         let locality = &self.context.locality;
         let servers = self.group.servers().into_iter();
         let mut others = servers.filter(|server| server.incarnation != leader.incarnation);
-        others.any(|server| server.is_staying() && locality.may_succeed(&server, now))
+        others.any(|server| server.is_staying() && locality.is_eligible_successor(&server, now))
     }
 
     /// Whether a primary that cannot be used leads nevertheless, as after a decision whose
--- a/crates/spurpier-pipeline/src/promotion/hand_over.rs
+++ b/crates/spurpier-pipeline/src/promotion/hand_over.rs
@@ -87,7 +87,7 @@
             }
             MoveReason::Demand => {
                 let now = context.clock.now();
-                let region = context.locality.demand.wish(&group.name, now)?;
+                let region = context.locality.demand.move_request(&group.name, now)?;
                 find_successor_in_region(context, group, former, &region).await
             }
         }
--- a/crates/spurpier-pipeline/src/promotion/successor.rs
+++ b/crates/spurpier-pipeline/src/promotion/successor.rs
@@ -117,8 +117,9 @@
         .iter()
         .map(|report| SuccessorCandidate {
             received: report.status.as_ref().map(|status| status.received),
-            eligible: report.server.is_staying() && locality.may_succeed(&report.server, now),
-            placement_score: locality.fit(group, &report.server, now),
+            eligible: report.server.is_staying()
+                && locality.is_eligible_successor(&report.server, now),
+            placement_score: locality.placement_score(group, &report.server, now),
         })
         .collect();
     let chosen = choose_successor(&candidates, group.synchronous_replicas())?;
@@ -221,7 +222,7 @@
     let is_in_region =
         |server: &Server| locality.region(&server.listing().entry.zone) == Some(region);
     let may_take_over = |server: &Server| {
-        is_in_region(server) && server.is_staying() && locality.may_succeed(server, now)
+        is_in_region(server) && server.is_staying() && locality.is_eligible_successor(server, now)
     };
     let candidates = reports
         .into_iter()
--- a/crates/spurpier-pipeline/src/promotion/watch.rs
+++ b/crates/spurpier-pipeline/src/promotion/watch.rs
@@ -288,7 +288,7 @@
         };
         let asked_at = self.context.clock.now();
         let group = self.group.name.as_str();
-        let region = self.context.locality.demand.wish(group, asked_at);
+        let region = self.context.locality.demand.move_request(group, asked_at);
         let was_answered = self
             .peers
             .ask_for_decision(&row.holder, group, region)
