--- a/crates/spurpier-pipeline/src/locality/closing.rs
+++ b/crates/spurpier-pipeline/src/locality/closing.rs
@@ -46,8 +46,8 @@
     }
 }
 
-/// Closes unused connections to a zone's servers, and those of idle transactions. A server drops the
-/// transaction of a closed connection, so nothing has to be sent.
+/// Closes unused connections to a zone's servers, and those of idle transactions. A server drops
+/// the transaction of a closed connection, so nothing has to be sent.
 fn close(context: &Context, zone: &str) {
     let transactions = context.locality.open_transactions.close_in_zone(zone);
     log_event!(
--- a/crates/spurpier-pipeline/src/locality/cold.rs
+++ b/crates/spurpier-pipeline/src/locality/cold.rs
@@ -1,8 +1,8 @@
-//! Sending to cold servers: each message to one needs a leave, over all nodes together.
+//! Limits what all nodes together send to cold servers: each message needs a permit.
 //!
-//! The decisions are [`spurpier_core::locality`]'s and [`spurpier_core::quota`]'s. Each server has a
-//! gate, which its connections pass with each message that they send, so that none is forgotten.
-//! A warm server's gate is one load of a number.
+//! [`spurpier_core::locality`] and [`spurpier_core::quota`] make the decisions. Each server has a
+//! gate that its connections pass with every message, so that all messages are counted. For a warm
+//! server the gate costs a single atomic load per check.
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -23,27 +23,27 @@
 use crate::quota::{Quotas, Refused, TenantQuota};
 use crate::settings::BoundSettings;
 
-/// How long a message may wait for its leave: enough for a question to another region and back
-/// (40 ms) that is asked again, and less than the 500 ms after which a lead counts as silent.
+/// Maximum wait of a message for its permit: enough for a repeated request to another region
+/// (40 ms round trip), and less than the 500 ms after which a leader counts as silent.
 const PERMIT_TIMEOUT: Duration = Duration::from_millis(300);
-/// As [`PERMIT_TIMEOUT`], for a statement of an open transaction, which would be dropped without one:
-/// the leaves of half a second, at 10 a second for 5 statements.
+/// As [`PERMIT_TIMEOUT`], for a statement of an open transaction, which is dropped without a
+/// permit: at 10 permits per second this covers 5 statements.
 const TRANSACTION_PERMIT_TIMEOUT: Duration = Duration::from_millis(500);
-/// When a client should come back that no leave was given for and none ever is.
+/// Retry delay when the limit allows no messages to a cold server at all.
 const CLOSED_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// When a client should come back that only a server of a zone taken back could serve, whose entry
-/// is not known to be new enough: a table is told of within a second.
+/// Retry delay when only a server of a reopened zone could serve, and its entry is not known to be
+/// new enough. Table updates arrive within a second.
 const ENTRY_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// How a message waits for its leave.
+/// How long a message waits for its permit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PermitWait {
-    /// It is refused as soon as none is to be had: nothing is lost by that.
+    /// It is refused as soon as no permit is available, because a refusal loses no work.
     Refused,
-    /// It waits a little: leaves were used already to prepare its connection.
+    /// It waits briefly, because preparing its connection has already used permits.
     Prepared,
-    /// It waits longer: its transaction stands open.
+    /// It waits longer, because its transaction is open.
     Transaction,
 }
 
@@ -56,20 +56,20 @@
     }
 }
 
-/// No leave was given; one may be asked for again after this time.
+/// No permit was granted; the time after which to request one again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NoLeave(pub Duration);
 
-/// What all gates of a node share.
+/// State shared by all cold server gates of a node.
 pub struct ColdServers {
     clock: Clock,
     configuration: watch::Receiver<Option<Arc<InForce>>>,
     bound: ColdBound,
-    /// Leaves to send, and what this node counts for others.
+    /// Permits to send, and what this node counts as an authority.
     pub permits: Quotas,
-    /// Until when any server is cold, in microseconds of the clock.
+    /// When the last cold server becomes warm, in microseconds of the clock.
     latest_end: AtomicU64,
-    /// The store's version up to which the servers' entries are known.
+    /// The encoded store version up to which server entries are known.
     entries_known_to: AtomicU64,
 }
 
@@ -82,7 +82,7 @@
 }
 
 impl ColdServers {
-    /// No server is cold yet.
+    /// Creates the shared state with no cold servers.
     pub fn new(
         bounds: &BoundSettings,
         clock: Clock,
@@ -108,13 +108,13 @@
         any_cold && known.as_ref().is_some_and(|known| known.has_cold_rates())
     }
 
-    /// Takes in up to which version of the store the servers' entries are known and taken in.
+    /// Records the store version up to which server entries are known and applied.
     pub fn record_entries_known_to(&self, version: StoreVersion) {
         self.entries_known_to
             .fetch_max(version.to_bits(), Ordering::Release);
     }
 
-    /// How much may be sent to a cold server of a group; none if that is not bounded.
+    /// The rate allowed to a cold server of a group; `None` if it is not limited.
     fn rate(&self, group: &str) -> Option<ColdRate> {
         let known = self.configuration.borrow();
         let known = known.as_ref()?;
@@ -131,44 +131,44 @@
     }
 }
 
-/// How much may be sent to a cold server.
+/// The rate allowed to a cold server.
 #[derive(Debug, Clone, Copy)]
 enum ColdRate {
     /// Nothing at all.
     Nothing,
-    /// So many leaves.
+    /// At this rate of permits.
     Limited(TenantQuota),
 }
 
-/// What was sent to a server while it was cold, since this was asked last.
+/// Messages to a cold server since the counts were last taken.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ColdTraffic {
     /// Messages that were sent.
     pub sent: u64,
-    /// Messages that no leave was given for.
+    /// Messages refused for lack of a permit.
     pub refused: u64,
 }
 
-/// Lets messages pass to one server, as many as its bound allows while it is cold.
+/// Limits the messages to one server while it is cold.
 #[derive(Debug)]
 pub struct ColdGate {
     shared: Arc<ColdServers>,
-    /// The life of the server, as what its leaves are counted for.
+    /// The server's incarnation, by which its permits are counted.
     subject: Arc<str>,
     group: String,
-    /// Tells when the server's zone was taken back from an evacuation.
+    /// Supplies the store version at which the server's zone was reopened.
     zone_gate: Arc<ZoneGate>,
     coldness: Mutex<ColdState>,
-    /// Until when the server is cold, in microseconds of the clock.
+    /// When the server becomes warm, in microseconds of the clock.
     cold_until: AtomicU64,
-    /// Messages that wait for a leave although none is to be had now.
+    /// Number of messages that wait because no permit is available.
     waiting: AtomicUsize,
     sent: AtomicU64,
     refused: AtomicU64,
 }
 
 impl ColdGate {
-    /// The gate of a server, which is warm as far as is known.
+    /// Creates the gate of a server that is not known to be cold.
     pub fn new(
         shared: &Arc<ColdServers>,
         entry: &ServerEntry,
@@ -187,7 +187,7 @@
         })
     }
 
-    /// Takes in an entry of the server that has just come.
+    /// Records a newly received entry of the server.
     pub fn record_entry(self: &Arc<Self>, cold_for: Duration, version: StoreVersion) {
         let now = self.shared.clock.now();
         let was_cold = self.is_cold(now);
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Tells in the log when the server is warm again.
+    /// Logs when the server is warm again.
     async fn log_warm(self: Arc<Self>) {
         let clock = &self.shared.clock;
         while self.is_cold(clock.now()) {
@@ -234,20 +234,20 @@
         self.cold_until() > now
     }
 
-    /// Whether messages to the server need leaves.
+    /// Whether messages to the server need permits.
     pub fn is_counted(&self) -> bool {
         self.is_cold(self.shared.clock.now()) && self.shared.rate(&self.group).is_some()
     }
 
-    /// Whether the server may have turned cold while its zone was evacuated, and no entry is known
-    /// that is as new as the end of that.
+    /// Whether the server may have turned cold while its zone was evacuated, and no entry as new as
+    /// the reopening is known.
     fn awaits_entry(&self) -> bool {
         let known_to = &self.shared.entries_known_to;
         let known_to = StoreVersion::from_bits(known_to.load(Ordering::Acquire));
         is_entry_outdated(self.zone_gate.reopened_at(), known_to)
     }
 
-    /// For how long it is known that no leave is to be had; none if one may be.
+    /// The time for which no permit is known to be available; `None` if one may be.
     pub fn closed_for(&self, now: Timestamp) -> Option<Duration> {
         let awaits_entry = self.awaits_entry();
         if !awaits_entry && !self.is_cold(now) {
@@ -260,7 +260,7 @@
         }
     }
 
-    /// What was sent while it was cold, since this was asked last.
+    /// Takes the counts of messages sent and refused while the server was cold.
     pub fn take_uses(&self) -> ColdTraffic {
         ColdTraffic {
             sent: self.sent.swap(0, Ordering::Relaxed),
@@ -268,7 +268,7 @@
         }
     }
 
-    /// Lets one message pass, which must be sent at once.
+    /// Admits one message, which must be sent at once.
     ///
     /// # Errors
     ///
@@ -298,12 +298,12 @@
         Err(NoLeave(delay))
     }
 
-    /// Takes a leave that is not over; the pause until one may be had if there is none.
+    /// Acquires an unexpired permit; the error is the delay until one may be available.
     async fn acquire_permit(&self, quota: TenantQuota, wait: PermitWait) -> Result<(), Duration> {
         let clock = &self.shared.clock;
         let until = clock.now() + wait.timeout();
         if wait == PermitWait::Refused && self.waiting.load(Ordering::Relaxed) > 0 {
-            // What waits goes first: it has more to lose.
+            // Waiting messages go first, because a refusal would lose more of their work.
             return Err(PERMIT_TIMEOUT);
         }
         loop {
@@ -311,7 +311,7 @@
             let taken = permits.acquire(clock, &self.subject, quota, until).await;
             let delay = match taken {
                 Ok(permit) if permit.expires_at > clock.now() => return Ok(()),
-                // The process stood still in between.
+                // The permit expired while the process was suspended.
                 Ok(_) => continue,
                 Err(Refused::OverQuota(delay) | Refused::NoAuthority(delay)) => delay,
             };
@@ -324,7 +324,7 @@
     }
 }
 
-/// Counts a message that waits.
+/// Counts a waiting message until dropped.
 struct WaitingGuard<'a>(&'a AtomicUsize);
 
 impl<'a> WaitingGuard<'a> {
--- a/crates/spurpier-pipeline/src/locality/demand.rs
+++ b/crates/spurpier-pipeline/src/locality/demand.rs
@@ -1,7 +1,8 @@
-//! What is asked of each group's primary, by regions, and where each is to move for it.
+//! Demand on each group's primary by region, and the region that each primary should move to.
 //!
-//! Each node counts what its own clients ask for. It tells the home that decides for the group, and
-//! that home's wish goes to the holder of the duty with its request to see to the group.
+//! Each node counts the demand of its own clients and reports it to the home that decides for the
+//! group. The home sends its move request to the holder of the promotion lease, together with its
+//! request to attend to the group.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -12,8 +13,8 @@
 };
 use spurpier_core::time::Timestamp;
 
-/// For how long the wish that a primary be moved holds after it was last told: a few of the looks
-/// of the node that tells it, so that it ends with that node.
+/// TTL of a move request after its last announcement: a few check intervals of the announcing node,
+/// so that the request lapses when that node ends.
 const MOVE_REQUEST_TTL: Duration = Duration::from_millis(2_500);
 
 #[derive(Debug, Default)]
@@ -21,18 +22,19 @@
     counts: DemandCounts,
     levels: DecayingDemand,
     policy: PrimaryMovePlanner,
-    /// The region that the primary is to move to, and until when that holds.
+    /// The region that the primary should move to, and when the request expires.
     move_request: Option<(String, Timestamp)>,
 }
 
-/// What is asked of the primaries, by group.
+/// Demand on the primaries and move requests, by group.
 #[derive(Debug, Default)]
 pub struct PrimaryDemand {
     groups: Mutex<HashMap<String, GroupDemand>>,
 }
 
 impl PrimaryDemand {
-    /// Counts a unit of a client of this node that needs a group's primary.
+    /// Counts one unit of this node's clients that needs a group's primary. Units that may run in
+    /// all regions or in none are not counted.
     pub fn count(&self, group: &str, allowed: &AllowedRegions) {
         if allowed.is_anywhere() || allowed.is_nowhere() {
             return;
@@ -47,7 +49,7 @@
         groups.insert(group.to_owned(), new);
     }
 
-    /// What was counted since it was taken last, by group.
+    /// Takes the demand counted since the last call, by group.
     pub fn take_counts(&self) -> Vec<(String, Vec<RegionDemand>)> {
         let mut groups = self.lock();
         let taken = groups
@@ -56,20 +58,20 @@
         taken.filter(|(_, demand)| !demand.is_empty()).collect()
     }
 
-    /// The groups that were ever asked for within bounds.
+    /// The groups with any demand limited to regions, or with a move request, since the start.
     pub fn groups(&self) -> Vec<String> {
         self.lock().keys().cloned().collect()
     }
 
-    /// Takes in demand for a group, this node's own or what another node has told.
+    /// Records demand for a group, counted by this node or reported by another.
     pub fn record(&self, group: &str, demand: &[RegionDemand], now: Timestamp) {
         let mut groups = self.lock();
         let known = groups.entry(group.to_owned()).or_default();
         known.levels.record(demand, now);
     }
 
-    /// Decides whether a group's primary, which stands in a region, is to move to one of others;
-    /// gives the region if that wish is new.
+    /// Decides whether a group's primary should move from the region `present` to one of the
+    /// candidates; returns the region if the move request is new.
     pub fn decide(
         &self,
         group: &str,
@@ -88,22 +90,22 @@
         is_new.then_some(wanted)
     }
 
-    /// Takes in that another node wants a group's primary in a region.
+    /// Records another node's request to move a group's primary to a region.
     pub fn record_move_request(&self, group: &str, region: String, now: Timestamp) {
         let mut groups = self.lock();
         let known = groups.entry(group.to_owned()).or_default();
         known.move_request = Some((region, now + MOVE_REQUEST_TTL));
     }
 
-    /// The region that a group's primary is to move to; none if it may stay where it is.
+    /// The region that a group's primary should move to; `None` without a current move request.
     pub fn move_request(&self, group: &str, now: Timestamp) -> Option<String> {
         let groups = self.lock();
         let move_request = groups.get(group)?.move_request_at(now)?;
         Some(move_request.to_owned())
     }
 
-    /// What a primary in a region may run of the demand that this node knows of, in hundredths of
-    /// units.
+    /// The part of the demand known to this node that a primary in a region may serve, in
+    /// hundredths of units.
     pub fn allowed_in(&self, group: &str, region: &str) -> u64 {
         let groups = self.lock();
         let level = groups.get(group);
--- a/crates/spurpier-pipeline/src/locality/evacuations.rs
+++ b/crates/spurpier-pipeline/src/locality/evacuations.rs
@@ -1,4 +1,4 @@
-//! The evacuated zones as this node follows them, and the gates in front of zones.
+//! This node's view of evacuated zones, and the gates in front of zones.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -17,12 +17,12 @@
 #[derive(Debug)]
 struct Inner {
     known: Evacuations,
-    /// Zones whose rows the store has lost.
+    /// Evacuated zones whose rows the store has lost.
     retained: RetainedZones,
     gates: BTreeMap<String, Arc<ZoneGate>>,
 }
 
-/// The evacuated zones as this node follows them.
+/// This node's view of evacuated zones, with one gate per zone.
 #[derive(Debug)]
 pub struct FollowedEvacuations {
     clock: Clock,
@@ -31,7 +31,8 @@
 }
 
 impl FollowedEvacuations {
-    /// Nothing is known; nothing may arrive later than `bound` after an evacuation's row.
+    /// Creates an empty view. Nothing may reach an evacuated zone later than `bound` after the
+    /// evacuation's row was written.
     pub fn new(bound: Duration, clock: Clock) -> Self {
         FollowedEvacuations {
             clock,
@@ -44,8 +45,8 @@
         }
     }
 
-    /// Takes in which zones the store tells to be evacuated as of a version; `reported_before` is up to when
-    /// it had told of the rows as they were known before.
+    /// Applies the evacuated zones that the store reports at a version. `reported_before` is the
+    /// time up to which it had reported the previously known rows.
     pub fn apply(
         &self,
         reported: &BTreeSet<String>,
@@ -81,7 +82,8 @@
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Until when zones stay evacuated whose rows the store has lost; none if there are none.
+    /// The time until which zones whose rows the store has lost stay evacuated; `None` if there are
+    /// none.
     pub fn retained_until(&self) -> Option<Timestamp> {
         self.lock().retained.retained_until()
     }
@@ -91,7 +93,7 @@
         self.lock().gate(zone, &self.clock)
     }
 
-    /// The evacuated zones, and from when on nothing more may be sent to each.
+    /// The evacuated zones, each with the time from which nothing more may be sent to it.
     pub fn zones(&self) -> Vec<(String, Timestamp)> {
         let inner = self.lock();
         let zones = inner.known.zones();
@@ -100,7 +102,7 @@
             .collect()
     }
 
-    /// A receiver that is told of changes.
+    /// Subscribes to changes of the evacuated zones.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
@@ -122,8 +124,8 @@
         self.retained.with_retained(known, reported, era, now)
     }
 
-    /// Tells the gates when their zones were taken back: an entry from before may tell of a server
-    /// that has turned cold since that it is warm.
+    /// Updates the reopening version of all gates. An older entry may report as warm a server that
+    /// has turned cold since.
     fn record_reopened(&mut self) {
         for (zone, gate) in &self.gates {
             gate.set_reopened_at(self.known.reopened_at(zone).unwrap_or_default());
--- a/crates/spurpier-pipeline/src/locality/mod.rs
+++ b/crates/spurpier-pipeline/src/locality/mod.rs
@@ -1,7 +1,7 @@
-//! Where units may run: which servers and which homes, and why others may not be used.
+//! Decides which servers and homes may run a unit, and why others may not.
 //!
-//! Every choice of a server or a home asks here, at each hop: the first choice, a unit that is
-//! handed on, a further attempt, and a transaction's next statement.
+//! Every selection of a server or a home is checked here, at each hop: the first selection, a
+//! forwarded unit, a retry, and a transaction's next statement.
 
 mod closing;
 mod cold;
@@ -26,26 +26,26 @@
 use crate::settings::PipelineSettings;
 use crate::unit::OpenTransactions;
 
-/// When a client should come back that no allowed server can serve: the primary may be moved, or
-/// the configuration changed.
+/// Retry delay when no allowed server can serve: by then the primary may have moved or the
+/// configuration changed.
 const REGION_RETRY: Duration = Duration::from_millis(1_000);
-/// When a client should come back whose route and tenant have no region in common: nothing but
-/// another configuration changes that.
+/// Retry delay when the route and the tenant have no region in common. Only another configuration
+/// changes that.
 const NO_REGION_RETRY: Duration = Duration::from_secs(5);
-/// When a client should come back that only a server of an evacuated zone could serve: about how
-/// long a primary's replacement takes.
+/// Retry delay when only a server of an evacuated zone could serve: about the time that replacing a
+/// primary takes.
 const EVACUATION_RETRY: Duration = Duration::from_millis(600);
 
 /// Why a server or a home may not be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Bar {
-    /// It stands in a region that the route or the tenant does not allow.
+    /// It is located in a region that the route or the tenant does not allow.
     Region,
     /// The route and the tenant have no region in common.
     NoRegion,
     /// Its zone is evacuated.
     Evacuated,
-    /// It is cold and takes no more for so long.
+    /// It is cold; the time for which it accepts nothing more.
     Cold(Duration),
 }
 
@@ -66,7 +66,7 @@
         }
     }
 
-    /// When a client should come back.
+    /// The time after which a client should retry.
     pub const fn retry_after(self) -> Duration {
         match self {
             Bar::Region => REGION_RETRY,
@@ -77,14 +77,14 @@
     }
 }
 
-/// Why a group's primary is to be replaced although it serves.
+/// Why a serving primary of a group is to be replaced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MoveReason {
-    /// It is about to end.
+    /// It is shutting down.
     Leaving,
     /// Its zone is evacuated.
     Evacuated,
-    /// Much of what needs it may not run where it stands.
+    /// Much of the demand for it may not run in its region.
     Demand,
 }
 
@@ -99,21 +99,21 @@
     }
 }
 
-/// What this node knows of places.
+/// This node's view of regions, evacuated zones, and demand by region.
 #[derive(Debug)]
 pub struct Locality {
     /// The region of each zone.
     regions: BTreeMap<String, String>,
     /// The zones that are evacuated.
     pub evacuations: FollowedEvacuations,
-    /// The transactions that stand open on this node's connections.
+    /// The open transactions on this node's connections.
     pub open_transactions: OpenTransactions,
-    /// What is asked of the primaries, by regions.
+    /// Demand on the primaries by region.
     pub demand: PrimaryDemand,
 }
 
 impl Locality {
-    /// The places of these settings.
+    /// Creates the view from the settings, without evacuations or demand.
     pub fn new(settings: &PipelineSettings, clock: &Clock) -> Self {
         let bound = settings.bounds.evacuation_bound();
         Locality {
@@ -124,7 +124,7 @@
         }
     }
 
-    /// The region of a zone; none if it is not known.
+    /// The region of a zone; `None` if the zone is unknown.
     pub fn region(&self, zone: &str) -> Option<&str> {
         self.regions.get(zone).map(String::as_str)
     }
@@ -139,7 +139,7 @@
         allowed.allows(self.region(zone))
     }
 
-    /// Why a read must not go to a server now; none if it may.
+    /// The reason why a read must not go to a server now; `None` if it may.
     pub fn bar_to_read(
         &self,
         allowed: &AllowedRegions,
@@ -149,7 +149,7 @@
         self.bar(allowed, server, now)
     }
 
-    /// Why what needs the lead must not go to the server that leads now; none if it may.
+    /// The reason why a unit that needs the leader must not go to it now; `None` if it may.
     pub fn bar_to_lead(
         &self,
         allowed: &AllowedRegions,
@@ -169,7 +169,7 @@
         server.pool.cold_gate().closed_for(now).map(Bar::Cold)
     }
 
-    /// Why a group's primary, which serves, is to be replaced; none if it is to stay.
+    /// The reason to replace a group's serving primary; `None` if it is to stay.
     pub fn reason_to_move(
         &self,
         group: &Group,
@@ -187,19 +187,19 @@
         (!is_in_region).then_some(MoveReason::Demand)
     }
 
-    /// Whether a server may become its group's primary at all, as far as places tell.
+    /// Whether a server may become its group's primary: not while its zone is evacuated.
     pub fn is_eligible_successor(&self, server: &Server, _now: Timestamp) -> bool {
         !server.is_evacuated()
     }
 
-    /// How well a server's place fits as that of its group's primary; the greater one goes first
-    /// among servers that have received as much.
+    /// Scores a server as its group's primary. Among servers that have received equally much, the
+    /// one with the greater score is preferred.
     ///
-    /// A warm one goes first: a cold one is slow, and may take few requests. Then it counts the work
-    /// that this node knows to be allowed there: what its own clients ask for, and what all do at
-    /// the home that decides on moves.
+    /// Warm servers go first, because cold ones are slow and may accept few requests. Next comes
+    /// the known demand that may run in the server's region: that of all clients on the home that
+    /// decides on moves, and that of its own clients on any other node.
     pub fn placement_score(&self, group: &Group, server: &Server, now: Timestamp) -> u64 {
-        /// Above all demand.
+        /// Greater than any demand.
         const WARM: u64 = 1 << 63;
         let region = self.region(&server.listing().entry.zone);
         let allowed = region.map_or(0, |region| self.demand.allowed_in(&group.name, region));
--- a/crates/spurpier-pipeline/src/quota/mod.rs
+++ b/crates/spurpier-pipeline/src/quota/mod.rs
@@ -166,7 +166,8 @@
         self.permit_cache().limited_for(subject, now)
     }
 
-    /// Acquires a permit for an operation on a tenant or cold server, waiting until `until` at most.
+    /// Acquires a permit for an operation on a tenant or cold server, waiting at most until
+    /// `until`.
     ///
     /// # Errors
     ///
