--- a/crates/spurpier-pipeline/src/locality/closing.rs
+++ b/crates/spurpier-pipeline/src/locality/closing.rs
@@ -61,7 +61,7 @@
                 server.pool.close_idle();
             }
         }
-        if group.lead().is_some_and(|lead| is_in_zone(&lead, zone)) {
+        if group.lead().is_some_and(|leader| is_in_zone(&leader, zone)) {
             log_event!(events::EVACUATED_PRIMARY, group = group.name, zone = zone);
         }
     }
--- a/crates/spurpier-pipeline/src/locality/mod.rs
+++ b/crates/spurpier-pipeline/src/locality/mod.rs
@@ -38,7 +38,7 @@
 
 /// Why a server or a home may not be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Bar {
+pub enum ExclusionReason {
     /// It is located in a region that the route or the tenant does not allow.
     Region,
     /// The route and the tenant have no region in common.
@@ -49,30 +49,30 @@
     Cold(Duration),
 }
 
-impl From<NoLeave> for Bar {
-    fn from(NoLeave(pause): NoLeave) -> Self {
-        Bar::Cold(pause)
+impl From<NoLeave> for ExclusionReason {
+    fn from(NoLeave(delay): NoLeave) -> Self {
+        ExclusionReason::Cold(delay)
     }
 }
 
-impl Bar {
+impl ExclusionReason {
     /// Its name in refusals, logs and metrics.
     pub const fn text(self) -> &'static str {
         match self {
-            Bar::Region => "region_not_allowed",
-            Bar::NoRegion => "no_region_allowed",
-            Bar::Evacuated => "zone_evacuated",
-            Bar::Cold(_) => "server_cold",
+            ExclusionReason::Region => "region_not_allowed",
+            ExclusionReason::NoRegion => "no_region_allowed",
+            ExclusionReason::Evacuated => "zone_evacuated",
+            ExclusionReason::Cold(_) => "server_cold",
         }
     }
 
     /// The time after which a client should retry.
     pub const fn retry_after(self) -> Duration {
         match self {
-            Bar::Region => REGION_RETRY,
-            Bar::NoRegion => NO_REGION_RETRY,
-            Bar::Evacuated => EVACUATION_RETRY,
-            Bar::Cold(pause) => pause,
+            ExclusionReason::Region => REGION_RETRY,
+            ExclusionReason::NoRegion => NO_REGION_RETRY,
+            ExclusionReason::Evacuated => EVACUATION_RETRY,
+            ExclusionReason::Cold(delay) => delay,
         }
     }
 }
@@ -140,50 +140,59 @@
     }
 
     /// The reason why a read must not go to a server now; `None` if it may.
-    pub fn bar_to_read(
+    pub fn exclusion_for_read(
         &self,
         allowed: &AllowedRegions,
         server: &Server,
         now: Timestamp,
-    ) -> Option<Bar> {
-        self.bar(allowed, server, now)
+    ) -> Option<ExclusionReason> {
+        self.exclusion(allowed, server, now)
     }
 
     /// The reason why a unit that needs the leader must not go to it now; `None` if it may.
-    pub fn bar_to_lead(
+    pub fn exclusion_for_leader(
         &self,
         allowed: &AllowedRegions,
-        lead: &Server,
+        leader: &Server,
         now: Timestamp,
-    ) -> Option<Bar> {
-        self.bar(allowed, lead, now)
+    ) -> Option<ExclusionReason> {
+        self.exclusion(allowed, leader, now)
     }
 
-    fn bar(&self, allowed: &AllowedRegions, server: &Server, now: Timestamp) -> Option<Bar> {
+    fn exclusion(
+        &self,
+        allowed: &AllowedRegions,
+        server: &Server,
+        now: Timestamp,
+    ) -> Option<ExclusionReason> {
         if !allowed.is_anywhere() && !self.allows(allowed, &server.listing().entry.zone) {
-            return Some(Bar::Region);
+            return Some(ExclusionReason::Region);
         }
         if server.pool.zone_gate().is_closed() {
-            return Some(Bar::Evacuated);
+            return Some(ExclusionReason::Evacuated);
         }
-        server.pool.cold_gate().closed_for(now).map(Bar::Cold)
+        server
+            .pool
+            .cold_gate()
+            .closed_for(now)
+            .map(ExclusionReason::Cold)
     }
 
     /// The reason to replace a group's serving primary; `None` if it is to stay.
     pub fn reason_to_move(
         &self,
         group: &Group,
-        lead: &Server,
+        leader: &Server,
         now: Timestamp,
     ) -> Option<MoveReason> {
-        if !lead.is_staying() {
+        if !leader.is_staying() {
             return Some(MoveReason::Leaving);
         }
-        if lead.is_evacuated() {
+        if leader.is_evacuated() {
             return Some(MoveReason::Evacuated);
         }
         let move_request = self.demand.move_request(&group.name, now)?;
-        let is_in_region = self.region(&lead.listing().entry.zone) == Some(move_request.as_str());
+        let is_in_region = self.region(&leader.listing().entry.zone) == Some(move_request.as_str());
         (!is_in_region).then_some(MoveReason::Demand)
     }
 
--- a/crates/spurpier-pipeline/src/promotion/watch.rs
+++ b/crates/spurpier-pipeline/src/promotion/watch.rs
@@ -21,7 +21,7 @@
 use crate::context::Context;
 use crate::events;
 use crate::group::Group;
-use crate::locality::{Bar, MoveReason};
+use crate::locality::{ExclusionReason, MoveReason};
 use crate::ports::{PromotionAnswer, StoreError};
 use crate::server::Server;
 use crate::unit::{NotRun, renew_proof};
@@ -176,7 +176,7 @@
         if self.group.servers().is_empty() {
             return RequiredAction::Nothing;
         }
-        if let Err(NotRun::Barred(Bar::Evacuated)) = proven
+        if let Err(NotRun::Barred(ExclusionReason::Evacuated)) = proven
             && let Some(barred) = self.candidate()
             && !is_lost(&barred)
         {
@@ -189,7 +189,7 @@
         }
         let is_load = matches!(
             proven,
-            Err(NotRun::NoConnection | NotRun::Barred(Bar::Cold(_)))
+            Err(NotRun::NoConnection | NotRun::Barred(ExclusionReason::Cold(_)))
         );
         if is_load && !leader.is_some_and(|leader| leader.health().is_silent()) {
             // All connections are busy, or a cold primary accepts no more requests for now. That
--- a/crates/spurpier-pipeline/src/unit/eligibility.rs
+++ b/crates/spurpier-pipeline/src/unit/eligibility.rs
@@ -4,7 +4,7 @@
 
 use super::Unit;
 use crate::homes::{ChosenNodes, PeerNode};
-use crate::locality::Bar;
+use crate::locality::ExclusionReason;
 use crate::ports::Effect;
 
 /// How long a read waits for replicas to catch up before it tries them again.
@@ -42,12 +42,12 @@
     ///
     /// The node to which the client is connected checks this first, so that it neither queues nor
     /// forwards a statement that no server may run.
-    pub fn bar_on_all_servers(&self, effect: Effect) -> Option<Bar> {
+    pub fn bar_on_all_servers(&self, effect: Effect) -> Option<ExclusionReason> {
         if self.allowed_regions.is_anywhere() {
             return None;
         }
         if self.allowed_regions.is_nowhere() {
-            return Some(Bar::NoRegion);
+            return Some(ExclusionReason::NoRegion);
         }
         if self.needs_leader(effect) {
             return self.bar_at_leader();
@@ -56,22 +56,22 @@
     }
 
     /// Returns the reason why the presumed leader may not run the unit.
-    fn bar_at_leader(&self) -> Option<Bar> {
+    fn bar_at_leader(&self) -> Option<ExclusionReason> {
         let context = &self.context;
         let now = context.clock.now();
         let leader = self.group.lead_candidate(now, context.leaving_use())?;
         context
             .locality
-            .bar_to_lead(&self.allowed_regions, &leader, now)
+            .exclusion_for_leader(&self.allowed_regions, &leader, now)
     }
 
     /// Returns the reason why no server that is not leaving may run the unit. Returns `None` if one
     /// may, or if no such server is known.
-    pub(super) fn bar_at_servers(&self) -> Option<Bar> {
+    pub(super) fn bar_at_servers(&self) -> Option<ExclusionReason> {
         let now = self.context.clock.now();
         let servers = self.group.servers();
         let staying = servers.iter().filter(|server| server.is_staying());
-        let bars: Option<Vec<Bar>> = staying
+        let bars: Option<Vec<ExclusionReason>> = staying
             .map(|server| self.bar_to_read(server, now))
             .collect();
         bars?.first().copied()
--- a/crates/spurpier-pipeline/src/unit/leader.rs
+++ b/crates/spurpier-pipeline/src/unit/leader.rs
@@ -14,7 +14,7 @@
 use crate::context::Context;
 use crate::events;
 use crate::group::Group;
-use crate::locality::Bar;
+use crate::locality::ExclusionReason;
 use crate::ports::{ErrorClass, ServerRequest, TransactionState};
 use crate::server::{AcquireError, ConnectionNeed, OpenError, Server, Values};
 
@@ -56,7 +56,10 @@
             .filter(|_| context.holds_lease(group));
         let mut missing = NotRun::NoLeader;
         if let Some(server) = candidate.filter(|server| is_responsive(server, clock.now())) {
-            if let Some(bar) = context.locality.bar_to_lead(allowed, &server, clock.now()) {
+            if let Some(bar) = context
+                .locality
+                .exclusion_for_leader(allowed, &server, clock.now())
+            {
                 return Err(NotRun::Barred(bar));
             }
             match server.pool.acquire(need, until).await {
@@ -260,7 +263,9 @@
     loop {
         let opened = begin_on_leader(context, group, need, &AllowedRegions::ANYWHERE, until).await;
         match opened {
-            Err(NotRun::Barred(Bar::Cold(delay))) if context.clock.now() + delay < until => {
+            Err(NotRun::Barred(ExclusionReason::Cold(delay)))
+                if context.clock.now() + delay < until =>
+            {
                 tokio::time::sleep(delay).await;
             }
             opened => return opened,
--- a/crates/spurpier-pipeline/src/unit/mod.rs
+++ b/crates/spurpier-pipeline/src/unit/mod.rs
@@ -39,7 +39,7 @@
 use crate::forward::{WireAnswer, millis};
 use crate::group::Group;
 use crate::homes::PeerNode;
-use crate::locality::{Bar, NoLeave};
+use crate::locality::{ExclusionReason, NoLeave};
 use crate::ports::{Answer, Effect, ErrorClass, FreshnessKind, Route, TransactionState};
 use crate::quota::Refused;
 use crate::server::{ConnectionNeed, Server, Values};
@@ -90,7 +90,7 @@
     /// allows other regions.
     Rerouted,
     /// The servers that could run it are barred to it, for example by region or evacuation.
-    Barred(Bar),
+    Barred(ExclusionReason),
 }
 
 impl NotRun {
@@ -123,7 +123,7 @@
 
 impl From<NoLeave> for NotRun {
     fn from(no_leave: NoLeave) -> Self {
-        NotRun::Barred(Bar::from(no_leave))
+        NotRun::Barred(ExclusionReason::from(no_leave))
     }
 }
 
--- a/crates/spurpier-pipeline/src/unit/read.rs
+++ b/crates/spurpier-pipeline/src/unit/read.rs
@@ -12,7 +12,7 @@
 use super::leader::renew_proof;
 use super::statement::ClientStatement;
 use super::{NotRun, Unit, UnitResult};
-use crate::locality::Bar;
+use crate::locality::ExclusionReason;
 use crate::ports::{Answer, ErrorClass, TransactionState};
 use crate::server::{AcquireError, OpenError, Server};
 
@@ -222,9 +222,9 @@
     }
 
     /// Returns the reason why a read must not use a server now, or `None` if it may.
-    pub(super) fn bar_to_read(&self, server: &Server, now: Timestamp) -> Option<Bar> {
+    pub(super) fn bar_to_read(&self, server: &Server, now: Timestamp) -> Option<ExclusionReason> {
         let locality = &self.context.locality;
-        locality.bar_to_read(&self.allowed_regions, server, now)
+        locality.exclusion_for_read(&self.allowed_regions, server, now)
     }
 
     /// Returns the reason why no server can be tried: the bar if each server that is not leaving is
@@ -303,7 +303,9 @@
             Err(AcquireError::Open(OpenError::Refused(class))) => {
                 Err(self.record_refusal(&server, class))
             }
-            Err(AcquireError::Open(OpenError::Closed)) => Err(NotRun::Barred(Bar::Evacuated)),
+            Err(AcquireError::Open(OpenError::Closed)) => {
+                Err(NotRun::Barred(ExclusionReason::Evacuated))
+            }
             Err(AcquireError::Open(OpenError::Cold(no_leave))) => Err(no_leave.into()),
             Err(AcquireError::Open(OpenError::Unreachable)) => {
                 server.record_unanswered(clock);
@@ -318,7 +320,7 @@
 fn is_failure(refused: NotRun) -> bool {
     !matches!(
         refused,
-        NotRun::NoFreshServer | NotRun::Barred(Bar::Cold(_))
+        NotRun::NoFreshServer | NotRun::Barred(ExclusionReason::Cold(_))
     )
 }
 
--- a/crates/spurpier-pipeline/src/unit/transaction.rs
+++ b/crates/spurpier-pipeline/src/unit/transaction.rs
@@ -10,7 +10,7 @@
 use super::read::after;
 use super::statement::ClientStatement;
 use super::{NotRun, Unit, UnitResult};
-use crate::locality::Bar;
+use crate::locality::ExclusionReason;
 use crate::ports::{Answer, ErrorClass, TransactionState};
 use crate::server::ExchangeError;
 
@@ -112,7 +112,8 @@
     /// Returns the answer in a transaction whose connection was closed because its zone was
     /// evacuated.
     fn evacuated(&self, statement: &ClientStatement) -> Answer {
-        self.unit.abort(&statement.id, "", Bar::Evacuated.text())
+        self.unit
+            .abort(&statement.id, "", ExclusionReason::Evacuated.text())
     }
 
     /// Commits the transaction. If it has failed, rolls it back and returns an error.
