--- a/crates/spurpier-pipeline/src/configuration/mod.rs
+++ b/crates/spurpier-pipeline/src/configuration/mod.rs
@@ -174,7 +174,7 @@
         let (evacuated, rows) = rows
             .into_iter()
             .partition::<Vec<Row>, _>(rows::is_evacuated);
-        self.0.places.evacuations.take(
+        self.0.locality.evacuations.apply(
             &rows::evacuated_zones(&evacuated),
             known.version(Table::Configuration),
             known.told_before(Table::Configuration),
@@ -197,12 +197,12 @@
     /// Schedules the end of evacuations whose rows the store has lost: they end unless the operator
     /// writes them again in time.
     fn schedule_hold_expiry(&self) {
-        let Some(held_until) = self.0.places.evacuations.held_until() else {
+        let Some(retained_until) = self.0.locality.evacuations.retained_until() else {
             return;
         };
         let context = Arc::clone(&self.0);
         tokio::spawn(async move {
-            tokio::time::sleep_until(context.clock.instant(held_until)).await;
+            tokio::time::sleep_until(context.clock.instant(retained_until)).await;
             ConfigurationSink(context).apply_known();
         });
     }
@@ -330,7 +330,7 @@
             .group(&group.name)
             .set_synchronous_replicas(replicas);
     }
-    let unknown = unknown_regions(&configuration, &context.places.known_regions());
+    let unknown = unknown_regions(&configuration, &context.locality.known_regions());
     let newer = Arc::new(IndexedConfiguration::new(configuration));
     let changed = context.configuration.send_if_modified(|current| {
         let known = current.as_ref().map(|known| known.configuration.version);
--- a/crates/spurpier-pipeline/src/directory/mod.rs
+++ b/crates/spurpier-pipeline/src/directory/mod.rs
@@ -22,7 +22,7 @@
 use crate::events;
 use crate::follow::RowSink;
 use crate::group::Group;
-use crate::places::ColdGate;
+use crate::locality::ColdGate;
 use crate::ports::{Row, ServerEntry, UnusableEntry};
 use crate::server::{Listing, Pool, Server, Target};
 use crate::server_rows;
@@ -244,7 +244,7 @@
                 role = format!("{:?}", entry.role)
             );
         }
-        let zone_gate = context.places.evacuations.gate(&entry.zone);
+        let zone_gate = context.locality.evacuations.gate(&entry.zone);
         let target = Target {
             address: entry.address,
             group: entry.group.clone(),
@@ -252,7 +252,7 @@
             zone_gate: Arc::clone(&zone_gate),
             cold_gate: ColdGate::new(&context.cold, &entry, zone_gate),
         };
-        target.cold_gate.note_entry(entry.cold_for, version);
+        target.cold_gate.record_entry(entry.cold_for, version);
         let dialect = Arc::clone(&context.server_dialect);
         let limit = connection_share(context, &group.name, &entry.zone);
         let clock = context.clock.clone();
@@ -272,7 +272,10 @@
 
     fn update(&self, group: &Group, server: &Server, entry: ServerEntry, version: StoreVersion) {
         let (draining, role) = (entry.draining, entry.role);
-        server.pool.cold_gate().note_entry(entry.cold_for, version);
+        server
+            .pool
+            .cold_gate()
+            .record_entry(entry.cold_for, version);
         let begins_to_leave = {
             let mut listing = server.listing();
             listing.entry = entry;
--- a/crates/spurpier-pipeline/src/follow/mod.rs
+++ b/crates/spurpier-pipeline/src/follow/mod.rs
@@ -339,7 +339,7 @@
     /// Records that all rows up to a version have been applied.
     fn record_applied(&mut self, version: StoreVersion, reported_at: Timestamp) {
         if self.table == Table::Servers {
-            self.context.cold.note_entries_known_to(version);
+            self.context.cold.record_entries_known_to(version);
         }
         self.record_progress(version, reported_at);
     }
--- a/crates/spurpier-pipeline/src/places/evacuations.rs
+++ b/crates/spurpier-pipeline/src/locality/evacuations.rs
@@ -1,4 +1,4 @@
-//! The evacuated zones as this node follows them, and the gates in front of zones.
+//! This node's view of evacuated zones, and the gates in front of zones.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -17,12 +17,12 @@
 #[derive(Debug)]
 struct Inner {
     known: Evacuations,
-    /// Zones whose rows the store has lost.
-    held: RetainedZones,
+    /// Evacuated zones whose rows the store has lost.
+    retained: RetainedZones,
     gates: BTreeMap<String, Arc<ZoneGate>>,
 }
 
-/// The evacuated zones as this node follows them.
+/// This node's view of evacuated zones, with one gate per zone.
 #[derive(Debug)]
 pub struct FollowedEvacuations {
     clock: Clock,
@@ -31,33 +31,34 @@
 }
 
 impl FollowedEvacuations {
-    /// Nothing is known; nothing may arrive later than `bound` after an evacuation's row.
+    /// Creates an empty view. Nothing may reach an evacuated zone later than `bound` after the
+    /// evacuation's row was written.
     pub fn new(bound: Duration, clock: Clock) -> Self {
         FollowedEvacuations {
             clock,
             inner: Mutex::new(Inner {
                 known: Evacuations::new(bound),
-                held: RetainedZones::default(),
+                retained: RetainedZones::default(),
                 gates: BTreeMap::new(),
             }),
             changed: watch::Sender::new(0),
         }
     }
 
-    /// Takes in which zones the store tells to be evacuated as of a version; `told_before` is up to when
-    /// it had told of the rows as they were known before.
-    pub fn take(
+    /// Applies the evacuated zones that the store reports at a version. `reported_before` is the
+    /// time up to which it had reported the previously known rows.
+    pub fn apply(
         &self,
-        told: &BTreeSet<String>,
+        reported: &BTreeSet<String>,
         version: StoreVersion,
-        told_before: Option<Timestamp>,
+        reported_before: Option<Timestamp>,
     ) {
         let mut inner = self.lock();
         let is_first = inner.known.first_version().is_none();
-        let zones = inner.with_held(told, version.era(), self.clock.now());
-        let changes = inner.known.apply(&zones, version, told_before);
+        let zones = inner.with_retained(reported, version.era(), self.clock.now());
+        let changes = inner.known.apply(&zones, version, reported_before);
         if is_first || !changes.reopened.is_empty() {
-            inner.note_taken_back();
+            inner.record_reopened();
         }
         if changes.is_empty() {
             return;
@@ -81,9 +82,10 @@
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Until when zones stay evacuated whose rows the store has lost; none if there are none.
-    pub fn held_until(&self) -> Option<Timestamp> {
-        self.lock().held.retained_until()
+    /// The time until which zones whose rows the store has lost stay evacuated; `None` if there are
+    /// none.
+    pub fn retained_until(&self) -> Option<Timestamp> {
+        self.lock().retained.retained_until()
     }
 
     /// The gate in front of a zone's servers.
@@ -91,7 +93,7 @@
         self.lock().gate(zone, &self.clock)
     }
 
-    /// The evacuated zones, and from when on nothing more may be sent to each.
+    /// The evacuated zones, each with the time from which nothing more may be sent to it.
     pub fn zones(&self) -> Vec<(String, Timestamp)> {
         let inner = self.lock();
         let zones = inner.known.zones();
@@ -100,7 +102,7 @@
             .collect()
     }
 
-    /// A receiver that is told of changes.
+    /// Subscribes to changes of the evacuated zones.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
@@ -111,22 +113,22 @@
 }
 
 impl Inner {
-    fn with_held(
+    fn with_retained(
         &mut self,
-        told: &BTreeSet<String>,
+        reported: &BTreeSet<String>,
         era: StoreEra,
         now: Timestamp,
     ) -> BTreeSet<String> {
         let known = self.known.zones();
         let known = known.map(|(zone, _)| zone.to_owned());
-        self.held.with_retained(known, told, era, now)
+        self.retained.with_retained(known, reported, era, now)
     }
 
-    /// Tells the gates when their zones were taken back: an entry from before may tell of a server
-    /// that has turned cold since that it is warm.
-    fn note_taken_back(&mut self) {
+    /// Updates the reopening version of all gates. An older entry may report as warm a server that
+    /// has turned cold since.
+    fn record_reopened(&mut self) {
         for (zone, gate) in &self.gates {
-            gate.set_taken_back_at(self.known.reopened_at(zone).unwrap_or_default());
+            gate.set_reopened_at(self.known.reopened_at(zone).unwrap_or_default());
         }
     }
 
@@ -136,7 +138,7 @@
         }
         let gate = Arc::new(ZoneGate::new(clock.clone()));
         gate.set(self.known.closes_at(zone));
-        gate.set_taken_back_at(self.known.reopened_at(zone).unwrap_or_default());
+        gate.set_reopened_at(self.known.reopened_at(zone).unwrap_or_default());
         self.gates.insert(zone.to_owned(), Arc::clone(&gate));
         gate
     }
--- a/crates/spurpier-pipeline/src/session/statements.rs
+++ b/crates/spurpier-pipeline/src/session/statements.rs
@@ -10,7 +10,7 @@
 use super::state::{Prepared, SessionState};
 use crate::forward::{RoutedTransaction, run_single};
 use crate::ports::{Answer, Effect, ErrorClass, Request, Statement, TransactionState};
-use crate::quota::{self, OperationLeave, Refused};
+use crate::quota::{self, OperationPermit, Refused};
 use crate::tenant::AdmissionError;
 use crate::unit::{ClientStatement, Deadlines, NotRun, PreparedExecution, Unit, UnitResult};
 
@@ -143,7 +143,7 @@
         &self,
         unit: &Unit,
         work: &ClientStatement,
-    ) -> Result<Option<OperationLeave>, Answer> {
+    ) -> Result<Option<OperationPermit>, Answer> {
         let Some(tenant) = &unit.caller.tenant else {
             return Ok(None);
         };
@@ -152,16 +152,16 @@
             return Ok(None);
         };
         let until = unit.deadlines.wait_until;
-        let taken = quota::take_leave(&self.context, tenant, quota, until).await;
+        let taken = quota::acquire_permit(&self.context, tenant, quota, until).await;
         let refuse = |refused: Refused| unit.refuse(&work.id, NotRun::from(refused));
         taken.map(Some).map_err(refuse)
     }
 
     /// Returns the permit to the quota if the operation did not run.
-    fn return_unused_permit(&self, permit: Option<OperationLeave>, answer: &Answer) {
+    fn return_unused_permit(&self, permit: Option<OperationPermit>, answer: &Answer) {
         let is_not_run = answer.error_class().is_some_and(ErrorClass::is_not_run);
         if let Some(permit) = permit.filter(|_| is_not_run) {
-            quota::put_back(&self.context, permit);
+            quota::return_permit(&self.context, permit);
         }
     }
 
--- a/crates/spurpier-pipeline/src/unit/eligibility.rs
+++ b/crates/spurpier-pipeline/src/unit/eligibility.rs
@@ -4,7 +4,7 @@
 
 use super::Unit;
 use crate::homes::{ChosenNodes, PeerNode};
-use crate::places::Bar;
+use crate::locality::ExclusionReason;
 use crate::ports::Effect;
 
 /// How long a read waits for replicas to catch up before it tries them again.
@@ -13,16 +13,16 @@
 impl Unit {
     /// Whether the unit may be forwarded to another node.
     pub fn may_run_on(&self, peer: &PeerNode) -> bool {
-        let places = &self.context.places;
-        places.allows(&self.allowed_regions, &peer.zone)
+        let locality = &self.context.locality;
+        locality.allows(&self.allowed_regions, &peer.zone)
     }
 
     /// Returns the zone whose nearby homes are tried first for units that need not run on the
     /// leader: this node's own zone, or else the zone of the nearest home that may run the unit.
     pub fn nearest_zone(&self, homes: &ChosenNodes) -> String {
         let own = &self.context.settings.node.zone;
-        let places = &self.context.places;
-        if places.allows(&self.allowed_regions, own) {
+        let locality = &self.context.locality;
+        if locality.allows(&self.allowed_regions, own) {
             return own.clone();
         }
         let nearest = homes.others.iter().find(|home| self.may_run_on(home));
@@ -33,7 +33,7 @@
     /// is moved if much of the demand is not allowed to run in its region.
     pub fn count_demand(&self, effect: Effect) {
         if self.needs_leader(effect) {
-            let demand = &self.context.places.demand;
+            let demand = &self.context.locality.demand;
             demand.count(&self.group.name, &self.allowed_regions);
         }
     }
@@ -42,12 +42,12 @@
     ///
     /// The node to which the client is connected checks this first, so that it neither queues nor
     /// forwards a statement that no server may run.
-    pub fn bar_on_all_servers(&self, effect: Effect) -> Option<Bar> {
+    pub fn bar_on_all_servers(&self, effect: Effect) -> Option<ExclusionReason> {
         if self.allowed_regions.is_anywhere() {
             return None;
         }
         if self.allowed_regions.is_nowhere() {
-            return Some(Bar::NoRegion);
+            return Some(ExclusionReason::NoRegion);
         }
         if self.needs_leader(effect) {
             return self.bar_at_leader();
@@ -56,22 +56,22 @@
     }
 
     /// Returns the reason why the presumed leader may not run the unit.
-    fn bar_at_leader(&self) -> Option<Bar> {
+    fn bar_at_leader(&self) -> Option<ExclusionReason> {
         let context = &self.context;
         let now = context.clock.now();
         let leader = self.group.lead_candidate(now, context.leaving_use())?;
         context
-            .places
-            .bar_to_lead(&self.allowed_regions, &leader, now)
+            .locality
+            .exclusion_for_leader(&self.allowed_regions, &leader, now)
     }
 
     /// Returns the reason why no server that is not leaving may run the unit. Returns `None` if one
     /// may, or if no such server is known.
-    pub(super) fn bar_at_servers(&self) -> Option<Bar> {
+    pub(super) fn bar_at_servers(&self) -> Option<ExclusionReason> {
         let now = self.context.clock.now();
         let servers = self.group.servers();
         let staying = servers.iter().filter(|server| server.is_staying());
-        let bars: Option<Vec<Bar>> = staying
+        let bars: Option<Vec<ExclusionReason>> = staying
             .map(|server| self.bar_to_read(server, now))
             .collect();
         bars?.first().copied()
