--- a/crates/spurpier-pipeline/src/quota/authority_client.rs
+++ b/crates/spurpier-pipeline/src/quota/authority_client.rs
@@ -67,7 +67,7 @@
     /// Sends a request to the authority; `None` if no response comes.
     pub async fn request(&self, context: &Context, demands: &PermitDemands) -> Option<Granted> {
         let limit = context.clock.instant(context.clock.now() + PERMIT_TTL);
-        context.homes.await_list(limit).await;
+        context.homes.wait_for_list(limit).await;
         let ranked = context.homes.authorities(self.scope);
         // An authority that is shutting down reports it, and the next one is asked at once.
         for _ in 0..ranked.len() + VOTE_ATTEMPTS {
