--- a/crates/spurpier-pipeline/src/era.rs
+++ b/crates/spurpier-pipeline/src/era.rs
@@ -19,7 +19,7 @@
     let expected = transaction.conditions.first();
     let expected = expected.map(|condition| condition.version.era());
     let outcome = Arc::clone(&context.store).transact(transaction).await?;
-    if let TransactOutcome::Made(version) = &outcome {
+    if let TransactOutcome::Committed(version) = &outcome {
         context.record_store_era(version.era(), STORE_SOURCE);
         if expected.is_some_and(|expected| expected != version.era()) {
             return Err(StoreError::EraChanged);
--- a/crates/spurpier-pipeline/src/group.rs
+++ b/crates/spurpier-pipeline/src/group.rs
@@ -284,7 +284,7 @@
     /// Records the position that a server has reported.
     pub fn note_shown(&self, server: &Server, position: Position, now: Timestamp) {
         let lag = self.lock().leading.proofs().replication_lag(position, now);
-        server.health().shown = Some(ObservedPosition {
+        server.health().observed = Some(ObservedPosition {
             position,
             observed_at: now,
             lag,
@@ -367,7 +367,7 @@
 }
 
 fn lead_candidate(server: &Server, lead: Option<&Incarnation>) -> LeaderCandidate {
-    let unresponsive = server.health().is_silent();
+    let unresponsive = server.health().is_unresponsive();
     let listing = server.listing();
     LeaderCandidate {
         proved: lead == Some(&server.incarnation),
--- a/crates/spurpier-pipeline/src/membership.rs
+++ b/crates/spurpier-pipeline/src/membership.rs
@@ -238,7 +238,7 @@
     };
     let call = transact_in_era(context, transaction);
     match timeout(WRITE_TIMEOUT, call).await {
-        Ok(Ok(TransactOutcome::Made(version))) => Some(version),
+        Ok(Ok(TransactOutcome::Committed(version))) => Some(version),
         Ok(Ok(TransactOutcome::Conflict(_)) | Err(_)) | Err(_) => None,
     }
 }
--- a/crates/spurpier-pipeline/src/metrics.rs
+++ b/crates/spurpier-pipeline/src/metrics.rs
@@ -322,7 +322,7 @@
     }
 
     fn count_connection_uses(&self, server: &Server) {
-        let uses = server.pool.take_uses();
+        let uses = server.pool.take_usage();
         let kinds = [
             ("taken", uses.taken),
             ("opened", uses.opened),
--- a/crates/spurpier-pipeline/src/ports/store.rs
+++ b/crates/spurpier-pipeline/src/ports/store.rs
@@ -136,7 +136,7 @@
 pub enum TransactOutcome {
     /// It was committed with this version. If the version's era differs from that of the
     /// conditions, they may have matched rows with the same version numbers but other contents.
-    Made(StoreVersion),
+    Committed(StoreVersion),
     /// A condition did not hold, and nothing was changed.
     Conflict(Vec<Row>),
 }
--- a/crates/spurpier-pipeline/src/promotion/demand.rs
+++ b/crates/spurpier-pipeline/src/promotion/demand.rs
@@ -82,7 +82,7 @@
     let servers = group.servers();
     let may_succeed = servers.iter().filter(|server| {
         server.is_staying()
-            && !server.health().is_silent()
+            && !server.health().is_unresponsive()
             && locality.is_eligible_successor(server, now)
     });
     let regions = may_succeed.filter_map(|server| {
--- a/crates/spurpier-pipeline/src/promotion/evacuation.rs
+++ b/crates/spurpier-pipeline/src/promotion/evacuation.rs
@@ -36,7 +36,7 @@
 
 /// Whether a server is lost, according to the last observations while it could be queried.
 pub fn is_lost(server: &Server) -> bool {
-    server.is_gone() || server.health().is_silent()
+    server.is_gone() || server.health().is_unresponsive()
 }
 
 impl PromotionTask {
--- a/crates/spurpier-pipeline/src/promotion/lease.rs
+++ b/crates/spurpier-pipeline/src/promotion/lease.rs
@@ -274,7 +274,7 @@
     };
     let writes = vec![own_release(context, group, decision.succession.token)];
     match transact(context, vec![condition], writes).await? {
-        TransactOutcome::Made(_) => Some(true),
+        TransactOutcome::Committed(_) => Some(true),
         TransactOutcome::Conflict(_) => Some(false),
     }
 }
@@ -287,7 +287,7 @@
     writes: Vec<Write>,
 ) -> Option<StoreVersion> {
     match transact(context, conditions, writes).await? {
-        TransactOutcome::Made(version) => Some(version),
+        TransactOutcome::Committed(version) => Some(version),
         TransactOutcome::Conflict(_) => None,
     }
 }
--- a/crates/spurpier-pipeline/src/promotion/watch.rs
+++ b/crates/spurpier-pipeline/src/promotion/watch.rs
@@ -191,7 +191,7 @@
             proven,
             Err(NotRun::NoConnection | NotRun::Barred(ExclusionReason::Cold(_)))
         );
-        if is_load && !leader.is_some_and(|leader| leader.health().is_silent()) {
+        if is_load && !leader.is_some_and(|leader| leader.health().is_unresponsive()) {
             // All connections are busy, or a cold primary accepts no more requests for now. That
             // indicates load, not a lost primary.
             return RequiredAction::Wait;
--- a/crates/spurpier-pipeline/src/server/health.rs
+++ b/crates/spurpier-pipeline/src/server/health.rs
@@ -12,8 +12,8 @@
 /// How long a silent or full server is avoided.
 const AVOIDANCE_PERIOD: Duration = Duration::from_millis(250);
 
-/// Number of consecutive unanswered messages at which a server counts as silent.
-const SILENT_THRESHOLD: u32 = 2;
+/// Number of consecutive unanswered messages at which a server counts as unresponsive.
+const UNRESPONSIVE_THRESHOLD: u32 = 2;
 
 /// The health of a server as observed in exchanges with it.
 #[derive(Debug, Clone)]
@@ -23,13 +23,13 @@
     /// Number of requests that run on it or wait for a connection to it.
     pub in_flight: usize,
     /// The position of the group's log that was last observed on it.
-    pub shown: Option<ObservedPosition>,
+    pub observed: Option<ObservedPosition>,
     /// The time until which other servers are preferred.
     pub avoided_until: Timestamp,
     /// Send time of the newest message that it has answered.
     pub answered_at: Option<Timestamp>,
     /// Start of the current series of unanswered messages; `None` while it answers.
-    pub silent_since: Option<Timestamp>,
+    pub unanswered_since: Option<Timestamp>,
     /// Number of consecutive unanswered messages.
     pub unanswered_count: u32,
 }
@@ -39,10 +39,10 @@
         Health {
             answer_time: INITIAL_ANSWER_TIME,
             in_flight: 0,
-            shown: None,
+            observed: None,
             avoided_until: Timestamp::ZERO,
             answered_at: None,
-            silent_since: None,
+            unanswered_since: None,
             unanswered_count: 0,
         }
     }
@@ -52,13 +52,13 @@
     /// Records an answer to a message that was sent at `sent_at`.
     pub fn record_answer(&mut self, sent_at: Timestamp) {
         self.answered_at = self.answered_at.max(Some(sent_at));
-        self.silent_since = None;
+        self.unanswered_since = None;
         self.unanswered_count = 0;
     }
 
     /// Whether several consecutive messages have gone unanswered.
-    pub fn is_silent(&self) -> bool {
-        self.unanswered_count >= SILENT_THRESHOLD
+    pub fn is_unresponsive(&self) -> bool {
+        self.unanswered_count >= UNRESPONSIVE_THRESHOLD
     }
 
     /// Records the duration of a statement that was run.
@@ -69,7 +69,7 @@
 
     /// Records that a message went unanswered or could not be sent.
     pub fn record_unanswered(&mut self, now: Timestamp) {
-        self.silent_since.get_or_insert(now);
+        self.unanswered_since.get_or_insert(now);
         self.unanswered_count += 1;
         self.avoid(now);
     }
--- a/crates/spurpier-pipeline/src/server/mod.rs
+++ b/crates/spurpier-pipeline/src/server/mod.rs
@@ -125,7 +125,7 @@
             answer_time: health.answer_time,
             in_flight: health.in_flight,
             slots,
-            observed: health.shown,
+            observed: health.observed,
             avoided_until: health.avoided_until,
             accepts_reads: staying,
             is_leader,
--- a/crates/spurpier-pipeline/src/server/pool/mod.rs
+++ b/crates/spurpier-pipeline/src/server/pool/mod.rs
@@ -84,7 +84,7 @@
 
 /// Counts of connections taken from the pool, opened and displaced.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct PoolUse {
+pub struct PoolUsage {
     /// Connections taken.
     pub taken: u64,
     /// Connections whose opening was started.
@@ -124,7 +124,7 @@
     /// Whether the server's incarnation has ended; no more connections are handed out.
     is_retired: bool,
     demand: Demand,
-    uses: PoolUse,
+    usage: PoolUsage,
     /// Time and cause of the newest failure to open a connection.
     failure: Option<(Timestamp, OpenError)>,
     /// No connection is opened before this time, as the server has too many.
@@ -166,7 +166,7 @@
                 limit,
                 is_retired: false,
                 demand: Demand::default(),
-                uses: PoolUse::default(),
+                usage: PoolUsage::default(),
                 failure: None,
                 full_until: Timestamp::ZERO,
                 full_backoff: Backoff::new(INITIAL_FULL_DELAY, MAX_FULL_DELAY),
@@ -186,7 +186,7 @@
     }
 
     /// Whether units wait for connections while the pool is at its limit and none is idle.
-    pub fn is_crowded(&self) -> bool {
+    pub fn is_saturated(&self) -> bool {
         let inner = self.lock();
         inner.idle.is_empty() && inner.total >= inner.limit && inner.demand.waiting() > 0
     }
@@ -262,8 +262,8 @@
     }
 
     /// Returns the usage counts since the last call, and resets them.
-    pub fn take_uses(&self) -> PoolUse {
-        std::mem::take(&mut self.lock().uses)
+    pub fn take_usage(&self) -> PoolUsage {
+        std::mem::take(&mut self.lock().usage)
     }
 
     /// Waits for a connection that meets the need, at most until `deadline`.
@@ -296,7 +296,7 @@
             if let Some(opening) = self.start_opening(&need) {
                 tokio::spawn(opening.run());
             }
-            self.wait_for_room(freed, deadline).await?;
+            self.wait_for_capacity(freed, deadline).await?;
         }
     }
 
@@ -308,7 +308,7 @@
     }
 
     /// Waits until a connection may be free or may be opened.
-    async fn wait_for_room(
+    async fn wait_for_capacity(
         &self,
         freed: impl Future<Output = ()>,
         deadline: Timestamp,
@@ -316,8 +316,8 @@
         let now = self.clock.now();
         let full_until = self.lock().full_until;
         let opens_again = full_until > now && full_until < deadline;
-        let look = if opens_again { full_until } else { deadline };
-        let freed = tokio::time::timeout_at(self.clock.instant(look), freed).await;
+        let wake_at = if opens_again { full_until } else { deadline };
+        let freed = tokio::time::timeout_at(self.clock.instant(wake_at), freed).await;
         if freed.is_err() && !opens_again {
             return Err(AcquireError::Full);
         }
@@ -333,7 +333,7 @@
                 inner.idle.remove(index).connection
             };
             if connection.is_alive() {
-                self.lock().uses.taken += 1;
+                self.lock().usage.taken += 1;
                 return Some(connection);
             }
             self.lock().total -= 1;
@@ -353,13 +353,13 @@
                 inner.total += 1;
                 None
             } else if inner.total == inner.limit && !inner.idle.is_empty() {
-                inner.uses.displaced += 1;
+                inner.usage.displaced += 1;
                 Some(inner.idle.remove(0))
             } else {
                 return None;
             };
             inner.demand.start_opening(need.opener());
-            inner.uses.opened += 1;
+            inner.usage.opened += 1;
             (displaced, std::mem::replace(&mut inner.is_listed, true))
         };
         drop(displaced);
@@ -369,7 +369,7 @@
         Some(Opening::new(self, need.opener()))
     }
 
-    fn give_back(&self, connection: ServerConnection) {
+    fn release(&self, connection: ServerConnection) {
         let surplus = {
             let mut inner = self.lock();
             if inner.total > inner.limit || self.zone_gate().is_closed() {
@@ -392,12 +392,12 @@
         let mut inner = self.lock();
         inner.failure = Some((now, error));
         if error == OpenError::Refused(ErrorClass::TooManyConnections) && inner.full_until <= now {
-            let pause = inner.full_backoff.next_delay(rand::rng().random());
-            inner.full_until = now + pause;
+            let delay = inner.full_backoff.next_delay(rand::rng().random());
+            inner.full_until = now + delay;
         }
     }
 
-    fn forget(&self) {
+    fn release_slot(&self) {
         self.lock().total -= 1;
         self.freed.notify_waiters();
     }
--- a/crates/spurpier-pipeline/src/server/pool/opening.rs
+++ b/crates/spurpier-pipeline/src/server/pool/opening.rs
@@ -46,9 +46,9 @@
     fn drop(&mut self) {
         self.pool.lock().demand.stop_opening(&self.caller);
         match self.connection.take() {
-            Some(connection) => self.pool.give_back(connection),
+            Some(connection) => self.pool.release(connection),
             None => {
-                self.pool.forget();
+                self.pool.release_slot();
                 self.pool.freed.notify_waiters();
             }
         }
@@ -81,12 +81,12 @@
 impl Drop for Lease {
     fn drop(&mut self) {
         match self.connection.take() {
-            Some(connection) if connection.is_reusable() => self.pool.give_back(connection),
+            Some(connection) if connection.is_reusable() => self.pool.release(connection),
             Some(connection) => {
                 drop(connection);
-                self.pool.forget();
+                self.pool.release_slot();
             }
-            None => self.pool.forget(),
+            None => self.pool.release_slot(),
         }
     }
 }
--- a/crates/spurpier-pipeline/src/unit/leader.rs
+++ b/crates/spurpier-pipeline/src/unit/leader.rs
@@ -115,7 +115,7 @@
 /// Whether to try a server: false if it has just left several messages unanswered.
 fn is_responsive(server: &Server, now: Timestamp) -> bool {
     let health = server.health();
-    !health.is_silent() || health.avoided_until <= now
+    !health.is_unresponsive() || health.avoided_until <= now
 }
 
 /// Opens a read-write transaction on the leader, which proves its leadership, and retries until
--- a/crates/spurpier-pipeline/src/unit/mod.rs
+++ b/crates/spurpier-pipeline/src/unit/mod.rs
@@ -223,7 +223,7 @@
     /// Returns the server that would run such a statement if units queue here for its connections.
     fn crowded_server(&self, effect: Effect) -> Option<Arc<Server>> {
         let servers = self.group.servers();
-        if !servers.iter().any(|server| server.pool.is_crowded()) {
+        if !servers.iter().any(|server| server.pool.is_saturated()) {
             return None;
         }
         let server = if self.needs_leader(effect) {
@@ -231,7 +231,7 @@
         } else {
             self.likely_reader(&servers)
         };
-        server.filter(|server| server.pool.is_crowded())
+        server.filter(|server| server.pool.is_saturated())
     }
 
     /// Runs a statement outside a transaction on one of this node's server connections.
