--- a/crates/spurpier-protocol/src/unit.rs
+++ b/crates/spurpier-protocol/src/unit.rs
@@ -71,7 +71,7 @@
     /// when the database has one side or the session holds no such floor.
     pub upstream_floor: Option<Position>,
     /// How long the unit may wait before anything of it is sent, in milliseconds.
-    pub patience_ms: u32,
+    pub max_wait_ms: u32,
     /// The client's request key.
     pub request_key: Option<RequestKey>,
     /// The digest of the keyed statement's text and parameters; zero without a key.
--- a/crates/spurpier-protocol/src/unit_encoding.rs
+++ b/crates/spurpier-protocol/src/unit_encoding.rs
@@ -103,7 +103,7 @@
         self.replica_allowed.ser_bin(output);
         self.floor.ser_bin(output);
         self.upstream_floor.ser_bin(output);
-        self.patience_ms.ser_bin(output);
+        self.max_wait_ms.ser_bin(output);
         self.request_key.ser_bin(output);
         self.statement_digest.ser_bin(output);
         encode_list(&self.settings, output);
@@ -123,7 +123,7 @@
             replica_allowed: DeBin::de_bin(offset, bytes)?,
             floor: DeBin::de_bin(offset, bytes)?,
             upstream_floor: DeBin::de_bin(offset, bytes)?,
-            patience_ms: DeBin::de_bin(offset, bytes)?,
+            max_wait_ms: DeBin::de_bin(offset, bytes)?,
             request_key: DeBin::de_bin(offset, bytes)?,
             statement_digest: DeBin::de_bin(offset, bytes)?,
             settings: decode_list(offset, bytes)?,
--- a/crates/spurpier-protocol/tests/frame.rs
+++ b/crates/spurpier-protocol/tests/frame.rs
@@ -42,7 +42,7 @@
         replica_allowed: false,
         floor: Some(Position::new(3, 40)),
         upstream_floor: None,
-        patience_ms: 900,
+        max_wait_ms: 900,
         request_key: Some("k".repeat(70_000).into()),
         statement_digest: 99,
         settings: vec![SessionSetting {
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn frames_survive_in_pieces_of_any_size() {
+fn frames_split_into_chunks_of_any_size_are_decoded() {
     let whole = encoded(&frames());
     for piece in [1, 7, 4_096, whole.len()] {
         let mut input = BytesMut::new();
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_length_beyond_the_limit_is_refused_before_its_bytes_arrive() {
+fn a_length_beyond_the_limit_is_rejected_before_its_bytes_arrive() {
     let mut bytes = BytesMut::new();
     bytes.put_u32(u32::try_from(MAX_FRAME_BYTES + 1).expect("fits"));
     assert_matches!(FrameCodec.decode(&mut bytes), Err(FrameError::Length(_)));
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn trailing_bytes_are_refused() {
+fn trailing_bytes_are_rejected() {
     let mut body = Frame::Ping.serialize_bin();
     body.push(0);
     assert_matches!(
@@ -172,7 +172,7 @@
     })]
 
     #[test]
-    fn a_changed_byte_is_noticed(
+    fn a_changed_byte_is_detected(
         frame in 0..16_usize,
         at in any::<prop::sample::Index>(),
         flip in 1..=255_u8,
@@ -188,15 +188,15 @@
 
     /// Whatever a peer says of lengths inside the body, decoding neither panics nor reserves it.
     #[test]
-    fn forged_bodies_are_refused_or_read(
+    fn forged_bodies_are_rejected_or_decoded(
         frame in 0..16_usize,
         at in any::<prop::sample::Index>(),
         forged in prop::collection::vec(any::<u8>(), 1..10),
     ) {
         let mut body = frames().swap_remove(frame).serialize_bin();
         let at = at.index(body.len());
-        for (place, byte) in body[at..].iter_mut().zip(&forged) {
-            *place = *byte;
+        for (position, byte) in body[at..].iter_mut().zip(&forged) {
+            *position = *byte;
         }
         if let Ok(Some(read)) = FrameCodec.decode(&mut framed(&body)) {
             let again = FrameCodec.decode(&mut encoded(std::slice::from_ref(&read)));
--- a/crates/spurpier-protocol/tests/gossip.rs
+++ b/crates/spurpier-protocol/tests/gossip.rs
@@ -109,38 +109,38 @@
 
 proptest! {
     #[test]
-    fn a_message_survives_its_encoding(message in message()) {
+    fn decoding_an_encoded_message_returns_it(message in message()) {
         prop_assert_eq!(decode(&encode(&message)), Ok(message));
     }
 
     #[test]
-    fn a_message_cut_short_is_refused(message in message(), cut in any::<prop::sample::Index>()) {
+    fn a_truncated_message_is_rejected(message in message(), cut in any::<prop::sample::Index>()) {
         let bytes = encode(&message);
         let kept = cut.index(bytes.len());
         prop_assert!(decode(&bytes[..kept]).is_err());
     }
 
     #[test]
-    fn garbage_is_no_reason_to_panic(mut bytes in prop::collection::vec(any::<u8>(), 1..400)) {
+    fn random_bytes_never_panic(mut bytes in prop::collection::vec(any::<u8>(), 1..400)) {
         bytes[0] = GOSSIP_VERSION;
         let _ = decode(&bytes);
     }
 
     #[test]
-    fn a_changed_byte_is_no_reason_to_panic(
+    fn a_changed_byte_never_panics(
         message in message(),
-        place in any::<prop::sample::Index>(),
+        position in any::<prop::sample::Index>(),
         value in any::<u8>(),
     ) {
         let mut bytes = encode(&message);
-        let index = place.index(bytes.len());
+        let index = position.index(bytes.len());
         bytes[index] = value;
         let _ = decode(&bytes);
     }
 }
 
 #[test]
-fn a_forged_length_reserves_no_memory() {
+fn a_forged_length_allocates_no_memory() {
     let message = GossipMessage {
         sender: NodeKey(1),
         version: 1,
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn other_versions_and_trailing_bytes_are_refused() {
+fn other_versions_and_trailing_bytes_are_rejected() {
     let message = GossipMessage {
         sender: NodeKey(1),
         version: 1,
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn a_program_longer_than_65535_bytes_is_not_cut() {
+fn a_program_longer_than_65535_bytes_is_not_truncated() {
     let change = EntryChange {
         key: "program".into(),
         value: Some("x".repeat(100_000).into()),
--- a/crates/spurpier-rehearsal/tests/cluster.rs
+++ b/crates/spurpier-rehearsal/tests/cluster.rs
@@ -140,7 +140,7 @@
             replica_allowed: true,
             floor: None,
             upstream_floor: None,
-            patience_ms: 10_000,
+            max_wait_ms: 10_000,
             request_key: None,
             statement_digest: 0,
             settings: Vec::new(),
--- a/crates/spurpier/src/cluster/forwarding/remote_unit.rs
+++ b/crates/spurpier/src/cluster/forwarding/remote_unit.rs
@@ -65,7 +65,7 @@
         return RemoteEnd::NotOpened(Reason::HomeUnreachable);
     };
     let waited_ms = u32::try_from(waited.as_millis()).unwrap_or(u32::MAX);
-    request.patience_ms = request.patience_ms.saturating_sub(waited_ms);
+    request.max_wait_ms = request.max_wait_ms.saturating_sub(waited_ms);
     let open = Frame::Open {
         unit: registration.unit,
         request,
--- a/crates/spurpier/src/cluster/forwarding/runner.rs
+++ b/crates/spurpier/src/cluster/forwarding/runner.rs
@@ -61,7 +61,7 @@
         let forwarding = Forwarding {
             runner: self.clone(),
             opened_at: Instant::now(),
-            patience: Duration::from_millis(u64::from(request.patience_ms)),
+            patience: Duration::from_millis(u64::from(request.max_wait_ms)),
             request,
             first,
             channels: IngressChannels {
@@ -142,7 +142,7 @@
     /// Runs the unit on this node after other homes could not be reached.
     async fn run_locally(mut self) {
         let waited = u32::try_from(self.waited().as_millis()).unwrap_or(u32::MAX);
-        self.request.patience_ms = self.request.patience_ms.saturating_sub(waited);
+        self.request.max_wait_ms = self.request.max_wait_ms.saturating_sub(waited);
         let mut handle = self.runner.local.open(self.request, self.first);
         let IngressChannels {
             mut input,
--- a/crates/spurpier/src/home/unit/mod.rs
+++ b/crates/spurpier/src/home/unit/mod.rs
@@ -63,8 +63,8 @@
     let group = database.group(request.side).cloned();
     let group = group.ok_or_else(|| Refusal::new(Reason::UnknownDatabase))?;
     let arrived = home.clock.now();
-    let patience_ms = request.patience_ms.min(home.limits.queue_wait_ms);
-    let patience = Duration::from_millis(u64::from(patience_ms));
+    let max_wait_ms = request.max_wait_ms.min(home.limits.queue_wait_ms);
+    let patience = Duration::from_millis(u64::from(max_wait_ms));
     Ok(UnitContext {
         home,
         database,
--- a/crates/spurpier/src/ingress/unit.rs
+++ b/crates/spurpier/src/ingress/unit.rs
@@ -135,7 +135,7 @@
         replica_allowed: decision.replica_allowed && !is_write,
         floor: session.floor(&group_of(session, decision.side)),
         upstream_floor: session.floor(&group_of(session, other_side(decision.side))),
-        patience_ms: decision.max_wait_ms.min(settings.limits.queue_wait_ms),
+        max_wait_ms: decision.max_wait_ms.min(settings.limits.queue_wait_ms),
         request_key: None,
         statement_digest: 0,
         settings: session.unit_settings(),
--- a/crates/spurpier/tests/forwarding/homes.rs
+++ b/crates/spurpier/tests/forwarding/homes.rs
@@ -70,11 +70,11 @@
     };
     let home = HomeNode::start("home").await;
     let ingress = Ingress::to(&[&address, &home.address]);
-    let patience_ms = 60_000;
-    let collected = collect(open(&ingress.runner(), request(patience_ms), "echo")).await;
+    let max_wait_ms = 60_000;
+    let collected = collect(open(&ingress.runner(), request(max_wait_ms), "echo")).await;
     assert!(is_completed(&collected));
     let spent = u32::try_from(TIMING.connect.as_millis()).expect("short");
-    assert!(home.last_patience_ms() <= patience_ms - spent);
+    assert!(home.last_patience_ms() <= max_wait_ms - spent);
 
     let impatient = Ingress::to(&[&address, &home.address]);
     let collected = collect(open(&impatient.runner(), request(20), "echo")).await;
--- a/crates/spurpier/tests/forwarding/support.rs
+++ b/crates/spurpier/tests/forwarding/support.rs
@@ -41,7 +41,7 @@
     }
 }
 
-pub fn request(patience_ms: u32) -> UnitRequest {
+pub fn request(max_wait_ms: u32) -> UnitRequest {
     UnitRequest {
         session: "session".into(),
         number: 1,
@@ -53,7 +53,7 @@
         replica_allowed: true,
         floor: None,
         upstream_floor: None,
-        patience_ms,
+        max_wait_ms,
         request_key: None,
         statement_digest: 0,
         settings: Vec::new(),
@@ -142,7 +142,7 @@
         self.0.started.fetch_add(1, Ordering::SeqCst);
         self.0
             .last_patience_ms
-            .store(request.patience_ms, Ordering::SeqCst);
+            .store(request.max_wait_ms, Ordering::SeqCst);
         let unit = Unit {
             runner: self.0.clone(),
             input: unit_input,
--- a/crates/spurpier/tests/home/capacity.rs
+++ b/crates/spurpier/tests/home/capacity.rs
@@ -72,7 +72,7 @@
     group.model().nodes[0].connection_limit = 1;
     let home = group.home("").await;
     let mut request = request(UnitKind::Write);
-    request.patience_ms = 200;
+    request.max_wait_ms = 200;
     let insert = batch(BatchEffect::Write, "INSERT tally lake");
     let refused = run_unit(home.open(request, insert)).await.result;
     assert!(
--- a/crates/spurpier/tests/home/support/units.rs
+++ b/crates/spurpier/tests/home/support/units.rs
@@ -96,7 +96,7 @@
         replica_allowed: true,
         floor: None,
         upstream_floor: None,
-        patience_ms: 3_000,
+        max_wait_ms: 3_000,
         request_key: None,
         statement_digest: 0,
         settings: Vec::new(),
