--- a/crates/spurpier-protocol/src/frame.rs
+++ b/crates/spurpier-protocol/src/frame.rs
@@ -1,12 +1,13 @@
 //! Frames on a connection between two nodes.
 //!
-//! The node that opens the connection is the ingress side of its units, the other one the home
-//! side. Each side first sends a [`Hello`]. A frame is a length of four bytes (big-endian), the
-//! xxh3-64 of the body, and the body in nanoserde's binary form.
+//! The node that opens the connection is the ingress side of all units on it; the other node is
+//! the home side. Each side sends a [`Hello`] first. A frame consists of a big-endian `u32` length
+//! (of checksum and body), the xxh3-64 checksum of the body, and the body in nanoserde's binary
+//! encoding.
 //!
-//! Each direction of a unit has a window of [`UNIT_WINDOW`] messages. The receiver grants room
-//! anew with [`Frame::OutputCredit`] and [`Frame::InputCredit`] as its consumer takes messages,
-//! so that a slow client holds up its own unit and no other.
+//! Flow control is per unit and direction, with a window of [`UNIT_WINDOW`] messages. The receiver
+//! grants further credit with [`Frame::OutputCredit`] and [`Frame::InputCredit`] as its consumer
+//! takes messages, so that a slow client delays only its own unit.
 
 use std::fmt;
 
@@ -20,93 +21,98 @@
 
 use crate::unit::{Batch, UnitInput, UnitOutput, UnitRequest};
 
-/// The version of the protocol; nodes of different versions do not forward to each other.
+/// The version of the forwarding protocol; nodes of different versions do not forward units to
+/// each other.
 pub const PROTOCOL_VERSION: u16 = 1;
 
-/// The messages that a unit may have under way in one direction.
+/// The initial credit of a unit in each direction, in messages.
 pub const UNIT_WINDOW: u32 = 16;
 
-/// The greatest length of a frame's checksum and body, in bytes.
+/// The maximum length of a frame's checksum and body together, in bytes.
 pub const MAX_FRAME_BYTES: usize = 64 << 20;
 
-/// The greatest length of the client or back-end messages in one frame, in bytes; what stands
-/// beside them always fits.
+/// The maximum length of the client or back-end messages in one frame, in bytes. Half of
+/// [`MAX_FRAME_BYTES`] leaves enough room for the other fields of the frame.
 pub const MAX_MESSAGE_BYTES: usize = MAX_FRAME_BYTES / 2;
 
 const LENGTH_BYTES: usize = 4;
 const CHECKSUM_BYTES: usize = 8;
 
-/// The first frame of each side.
+/// The handshake that each side sends as its first frame.
 #[derive(Debug, Clone, PartialEq, Eq, SerBin, DeBin)]
 pub struct Hello {
-    /// The version of the protocol, [`PROTOCOL_VERSION`].
+    /// The sender's protocol version, [`PROTOCOL_VERSION`].
     pub version: u16,
-    /// The node that sends this.
+    /// The sender's node name.
     pub node: NodeName,
-    /// The number of the node's life, higher than in any earlier one.
+    /// The sender's incarnation number, which increases with each start of the node.
     pub incarnation: u64,
 }
 
-/// A frame; `unit` is the number that the ingress side gave the unit, unique on the connection.
+/// A message on a connection between two nodes.
+///
+/// `unit` is the identifier that the ingress side assigned to the unit; it is unique on the
+/// connection.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
 pub enum Frame {
-    /// Both sides: the first frame.
+    /// Both sides: the handshake, sent as the first frame.
     Hello(Hello),
     /// Ingress side: starts a unit with its first batch.
     Open {
-        /// The unit.
+        /// The unit's identifier.
         unit: u64,
-        /// What the home must know.
+        /// The parameters of the unit.
         request: UnitRequest,
         /// The first batch.
         first: Batch,
     },
     /// Ingress side: a further message of an open unit.
     Input {
-        /// The unit.
+        /// The unit's identifier.
         unit: u64,
         /// The message.
         input: UnitInput,
     },
-    /// Ingress side: the unit has no holder any more; it is rolled back.
+    /// Ingress side: the unit was dropped there; the home rolls it back.
     Abandon {
-        /// The unit.
+        /// The unit's identifier.
         unit: u64,
     },
-    /// Ingress side: room for more outputs.
+    /// Ingress side: grants credit for further [`Frame::Output`] frames.
     OutputCredit {
-        /// The unit.
+        /// The unit's identifier.
         unit: u64,
-        /// How many more.
+        /// The number of additional messages.
         messages: u32,
     },
-    /// Home side: the unit was not started, and nothing of it ran.
+    /// Home side: the unit was not started and had no effect.
     NotOpened {
-        /// The unit.
+        /// The unit's identifier.
         unit: u64,
-        /// Why.
+        /// The reason for the refusal.
         reason: Reason,
     },
     /// Home side: a message of an open unit.
     Output {
-        /// The unit.
+        /// The unit's identifier.
         unit: u64,
         /// The message.
         output: UnitOutput,
     },
-    /// Home side: the unit ended without a result, as if the connection had been lost.
+    /// Home side: the unit ended without a result; the ingress side handles this like a lost
+    /// connection.
     Lost {
-        /// The unit.
+        /// The unit's identifier.
         unit: u64,
     },
-    /// Home side: room for more inputs.
+    /// Home side: grants credit for further [`Frame::Input`] frames.
     InputCredit {
-        /// The unit.
+        /// The unit's identifier.
         unit: u64,
-        /// How many more.
+        /// The number of additional messages.
         messages: u32,
     },
-    /// Both sides: asks for a [`Frame::Pong`].
+    /// Both sides: requests a [`Frame::Pong`].
     Ping,
     /// Both sides: answers a [`Frame::Ping`].
     Pong,
@@ -114,7 +120,7 @@
     Control(ControlBytes),
 }
 
-/// The bytes of a control message.
+/// A control message as encoded by [`crate::gossip`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ControlBytes(pub Vec<u8>);
 
@@ -130,26 +136,28 @@
     }
 }
 
-/// Why bytes are no frame, or a frame cannot be sent.
+/// An error in sending, receiving, encoding or decoding a frame.
 #[derive(Debug)]
 pub enum FrameError {
     /// The connection failed.
     Connection(std::io::Error),
-    /// The frame is longer than [`MAX_FRAME_BYTES`], or too short for a checksum.
+    /// The length, in bytes, is above [`MAX_FRAME_BYTES`] or too short for a checksum.
     Length(usize),
-    /// The checksum does not fit the body.
+    /// The checksum does not match the body.
     Checksum,
-    /// The body is no frame.
+    /// The body cannot be decoded, or has bytes after the message.
     Malformed,
 }
 
 impl fmt::Display for FrameError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            FrameError::Connection(error) => write!(formatter, "the connection failed: {error}"),
-            FrameError::Length(length) => write!(formatter, "a frame cannot have {length} bytes"),
-            FrameError::Checksum => formatter.write_str("the checksum of a frame is wrong"),
-            FrameError::Malformed => formatter.write_str("a frame is malformed"),
+            FrameError::Connection(error) => write!(formatter, "connection failed: {error}"),
+            FrameError::Length(length) => {
+                write!(formatter, "invalid frame length of {length} bytes")
+            }
+            FrameError::Checksum => formatter.write_str("frame checksum mismatch"),
+            FrameError::Malformed => formatter.write_str("malformed frame body"),
         }
     }
 }
@@ -162,7 +170,7 @@
     }
 }
 
-/// Turns frames into bytes and back.
+/// Encodes and decodes [`Frame`]s on a byte stream.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct FrameCodec;
 
@@ -187,7 +195,7 @@
 ///
 /// # Errors
 ///
-/// `Length` if the message is too long; nothing is appended then.
+/// Returns [`FrameError::Length`] if the message is too long; `output` is then unchanged.
 pub fn encode_framed(message: &impl SerBin, output: &mut BytesMut) -> Result<(), FrameError> {
     let body = message.serialize_bin();
     let length = CHECKSUM_BYTES + body.len();
@@ -195,18 +203,20 @@
         return Err(FrameError::Length(length));
     }
     output.reserve(LENGTH_BYTES + length);
-    // Bounded by MAX_FRAME_BYTES just above.
+    // The cast cannot truncate: the length is at most MAX_FRAME_BYTES.
     output.put_u32(length as u32);
     output.put_u64(xxh3_64(&body));
     output.put_slice(&body);
     Ok(())
 }
 
-/// Takes the next whole frame's message; none while it is not whole.
+/// Removes the next complete frame from `input` and decodes its message; `None` until a complete
+/// frame has arrived.
 ///
 /// # Errors
 ///
-/// If the bytes are no frame of such a message; the connection is of no more use.
+/// Fails if the length, the checksum or the body is invalid. The stream cannot be resynchronized
+/// after an error, so the connection must be closed.
 pub fn decode_framed<M: DeBin>(input: &mut BytesMut) -> Result<Option<M>, FrameError> {
     let Some(mut header) = input.get(..LENGTH_BYTES) else {
         return Ok(None);
@@ -216,7 +226,7 @@
         return Err(FrameError::Length(length));
     }
     if input.len() < LENGTH_BYTES + length {
-        // Grows with the bytes that arrive; a length alone reserves nothing.
+        // The buffer grows only as bytes arrive; an unverified length allocates no memory.
         return Ok(None);
     }
     input.advance(LENGTH_BYTES);
--- a/crates/spurpier-protocol/src/gossip.rs
+++ b/crates/spurpier-protocol/src/gossip.rs
@@ -1,7 +1,8 @@
 //! The encoding of control messages between nodes.
 //!
-//! The message types belong to `spurpier-core`, whose machines make and take them; here they get
-//! their bytes: the protocol's version, then the message in nanoserde's binary form.
+//! The message types are defined in `spurpier-core`, whose state machines produce and consume them.
+//! An encoded message is one byte with the protocol version, followed by the message in nanoserde's
+//! binary encoding.
 
 use std::fmt;
 
@@ -12,35 +13,38 @@
 /// The version of the control protocol, the first byte of every message.
 pub const GOSSIP_VERSION: u8 = 1;
 
-/// The greatest size of a control message in a datagram, in bytes.
+/// The maximum size of an encoded control message in a datagram, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 
-/// The greatest size of a control message over a connection, in bytes.
+/// The maximum size of an encoded control message sent over a connection, in bytes.
 pub const MAX_STREAM_BYTES: usize = 16 << 20;
 
-/// Bytes that are no control message of this protocol version.
+/// The reason why bytes could not be decoded as a control message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InvalidGossip {
-    /// Nothing was received.
+    /// The input is empty.
     Empty,
-    /// The message is of another version of the protocol.
+    /// The message has another protocol version than [`GOSSIP_VERSION`]; holds that version.
     OtherVersion(u8),
-    /// The bytes end early, or a value in them is not valid.
+    /// The input is truncated or contains an invalid value.
     Malformed,
-    /// Bytes follow the message.
+    /// The message is followed by this number of unexpected bytes.
     TrailingBytes(usize),
 }
 
 impl fmt::Display for InvalidGossip {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            InvalidGossip::Empty => formatter.write_str("the message is empty"),
+            InvalidGossip::Empty => formatter.write_str("empty control message"),
             InvalidGossip::OtherVersion(version) => {
-                write!(formatter, "the message has the unknown version {version}")
+                write!(formatter, "unsupported control protocol version {version}")
             }
-            InvalidGossip::Malformed => formatter.write_str("the message is malformed"),
+            InvalidGossip::Malformed => formatter.write_str("malformed control message"),
             InvalidGossip::TrailingBytes(count) => {
-                write!(formatter, "{count} bytes follow the message")
+                write!(
+                    formatter,
+                    "{count} unexpected bytes after the control message"
+                )
             }
         }
     }
@@ -48,25 +52,26 @@
 
 impl std::error::Error for InvalidGossip {}
 
-/// The bytes of a message.
+/// Encodes a message, including the version byte.
 pub fn encode(message: &GossipMessage) -> Vec<u8> {
     let mut output = Vec::with_capacity(128);
     encode_into(message, &mut output);
     output
 }
 
-/// Appends the bytes of a message to `output`.
+/// Appends an encoded message, including the version byte, to `output`.
 pub fn encode_into(message: &GossipMessage, output: &mut Vec<u8>) {
     output.push(GOSSIP_VERSION);
     message.ser_bin(output);
 }
 
-/// The message of these bytes.
+/// Decodes one message that must span the whole input.
 ///
 /// # Errors
 ///
-/// Refuses other versions, malformed messages and bytes after the message; never panics, and
-/// reserves no memory on the word of a length in the bytes.
+/// Fails if the input is empty or malformed, has another protocol version, or has bytes after the
+/// message. Decoding untrusted input never panics and allocates no memory based on an unverified
+/// length.
 pub fn decode(bytes: &[u8]) -> Result<GossipMessage, InvalidGossip> {
     let (&version, _) = bytes.split_first().ok_or(InvalidGossip::Empty)?;
     if version != GOSSIP_VERSION {
--- a/crates/spurpier-protocol/src/lib.rs
+++ b/crates/spurpier-protocol/src/lib.rs
@@ -1,8 +1,9 @@
 //! Messages between spurpier nodes, and their framing.
 //!
-//! Everything here is encoded with nanoserde's binary form. [`mod@unit`] holds the work that an
-//! ingress node hands to a database's home node, [`frame`] how it travels, [`gossip`] the control messages by which nodes
-//! keep their view of each other and the document in force.
+//! All messages use nanoserde's binary encoding. [`mod@unit`] defines the units of work that an
+//! ingress node forwards to a database's home node, [`frame`] the framing on the connection, and
+//! [`gossip`] the encoding of the control messages through which nodes maintain the cluster
+//! membership and distribute the document in force.
 
 pub mod frame;
 pub mod gossip;
--- a/crates/spurpier-protocol/src/unit.rs
+++ b/crates/spurpier-protocol/src/unit.rs
@@ -1,21 +1,22 @@
-//! Units of work: what an ingress node asks of a database's home node.
+//! Units of work, which an ingress node sends to a database's home node.
 //!
 //! A unit is one autocommit batch or one whole transaction, from its first batch to its end. The
 //! ingress node knows the session and the policy; the home node knows the group, holds the
-//! back-end connections and confirms commits. Both sides speak through these types whether the
-//! home is the same process or another node.
+//! back-end connections and confirms commits. Both sides use these types, whether the home is in
+//! the same process or on another node.
 
 use nanoserde::{DeBin, SerBin};
 use spurpier_core::identity::{DatabaseName, RequestKey, SessionId, Side};
 use spurpier_core::position::Position;
 use spurpier_core::reason::Reason;
 
-/// What kind of work a unit holds.
+/// The kind of work in a unit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, SerBin, DeBin)]
 pub enum UnitKind {
     /// One batch of reads outside a transaction block.
     Read,
-    /// One batch with at least one write, outside a transaction block; the home wraps it in one.
+    /// One batch with at least one write, outside a transaction block; the home wraps it in a
+    /// transaction block.
     Write,
     /// A transaction block that the client declared read-only.
     ReadTransaction,
@@ -23,16 +24,17 @@
     WriteTransaction,
 }
 
-/// How fresh a unit's reads must be.
+/// The required freshness of a unit's reads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, SerBin, DeBin)]
 pub enum Freshness {
-    /// At or past the session's floor: its own writes, and never back in time.
+    /// At or past the session's floor: the session reads its own writes, and its reads are
+    /// monotonic.
     Session,
-    /// At or past the read index of the moment at which the unit arrived.
+    /// At or past the read index obtained when the unit arrived.
     Fresh,
     /// At most `milliseconds` behind the primary, and at or past the session's floor.
     Bounded {
-        /// The greatest staleness, in milliseconds.
+        /// The maximum staleness, in milliseconds.
         milliseconds: u32,
     },
 }
@@ -42,56 +44,57 @@
 pub struct SessionSetting {
     /// The setting's name in lower case.
     pub name: String,
-    /// The value as SQL text, quoted as `SET name = value` needs it.
+    /// The value as SQL text, quoted as required in `SET name = value`.
     pub value: String,
 }
 
-/// What a home node must know to run a unit.
+/// The parameters with which a home node runs a unit.
 #[derive(Debug, Clone, PartialEq)]
 pub struct UnitRequest {
     /// The client session.
     pub session: SessionId,
-    /// The number of the unit within the session at this ingress node, from 1.
+    /// The sequence number of the unit within the session at this ingress node, starting at 1.
     pub number: u64,
     /// The database.
     pub database: DatabaseName,
-    /// The side that the policy chose.
+    /// The side of the database that the policy selected.
     pub side: Side,
-    /// The policy epoch of the database's write side; the fence must agree with it.
+    /// The policy epoch of the database's write side; it must match the fence's epoch.
     pub epoch: u64,
-    /// What kind of work it is.
+    /// The kind of work in the unit.
     pub kind: UnitKind,
-    /// How fresh the reads must be.
+    /// The required freshness of the reads.
     pub freshness: Freshness,
-    /// Whether a replica may serve it.
+    /// Whether a replica may serve the unit.
     pub replica_allowed: bool,
-    /// The session's floor in this group; none when unknown, and then the read index is taken.
+    /// The session's floor in this group, the minimum log position for its reads; if `None`, the
+    /// floor is unknown and the read index is used instead.
     pub floor: Option<Position>,
-    /// The session's floor in the other side's group, for reads there before the move; none
-    /// when the database has one side or the session holds no such floor.
+    /// The session's floor in the other side's group, for reads there before the move; `None`
+    /// if the database has only one side or the session has no such floor.
     pub upstream_floor: Option<Position>,
-    /// How long the unit may wait before anything of it is sent, in milliseconds.
+    /// The maximum time to wait before any part of the unit is sent to a server, in milliseconds.
     pub max_wait_ms: u32,
-    /// The client's request key.
+    /// The client's request key, which makes a retried request run at most once.
     pub request_key: Option<RequestKey>,
-    /// The digest of the keyed statement's text and parameters; zero without a key.
+    /// The digest of the keyed statement's text and parameters; zero without a request key.
     pub statement_digest: u64,
     /// The settings of the session, in the order in which they were set.
     pub settings: Vec<SessionSetting>,
 }
 
-/// A prepared statement that a batch uses and that the back-end connection must know.
+/// A prepared statement that a batch uses and that must exist on the back-end connection.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PreparedStatement {
-    /// The name on the back-end connection, made from the digest of text and types.
+    /// The name on the back-end connection, derived from a digest of text and parameter types.
     pub name: String,
     /// The statement's text.
     pub text: String,
-    /// The parameter types that the client gave, as OIDs; may be shorter than the parameters.
+    /// The parameter types that the client specified, as OIDs; may be fewer than the parameters.
     pub parameter_types: Vec<u32>,
 }
 
-/// What a batch does to the transaction block that it stands in.
+/// The effect of a batch on its transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, SerBin, DeBin)]
 pub enum BatchEffect {
     /// Reads only.
@@ -109,7 +112,7 @@
 /// Client messages that are sent to the back end together and answered by one ReadyForQuery.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Batch {
-    /// What the batch does.
+    /// The effect on the transaction.
     pub effect: BatchEffect,
     /// Prepared statements that the messages refer to.
     pub prepared: Vec<PreparedStatement>,
@@ -117,14 +120,14 @@
     pub messages: Vec<u8>,
 }
 
-/// What the ingress node sends within an open unit.
+/// A message from the ingress node within an open unit.
 #[derive(Debug, Clone, PartialEq, Eq, SerBin, DeBin)]
 pub enum UnitInput {
-    /// The next batch; the previous one has been answered whole.
+    /// The next batch, sent after the previous one has been answered completely.
     Batch(Batch),
-    /// The client asks to cancel the running batch.
+    /// The client requests cancellation of the running batch.
     Cancel,
-    /// The client has vanished: roll back and end the unit.
+    /// The client has disconnected: roll back and end the unit.
     Abandon,
 }
 
@@ -135,11 +138,11 @@
     Idle,
     /// A transaction block is open.
     Open,
-    /// The transaction block has failed and only a rollback is taken.
+    /// The transaction block has failed; only a rollback is accepted.
     Failed,
 }
 
-/// Which kind of server ran a unit.
+/// The role of the server that ran a unit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, SerBin, DeBin)]
 pub enum ServedBy {
     /// The primary.
@@ -148,44 +151,46 @@
     Replica,
 }
 
-/// How a unit ended.
+/// The outcome of a unit.
 #[derive(Debug, Clone, PartialEq, Eq, SerBin, DeBin)]
 pub enum UnitResult {
-    /// It ran to its end and every answer has been sent; a commit in it is confirmed. The back
-    /// end's own errors (a failed statement, a rolled back transaction) end this way too.
+    /// The unit ran to its end, all answers have been sent, and any commit in it is confirmed.
+    /// Errors from the back end (a failed statement, a rolled back transaction) also count as
+    /// completed.
     Completed {
         /// The session's new floor in the group.
         floor: Position,
-        /// Which kind of server ran it.
+        /// The role of the server that ran the unit.
         served_by: ServedBy,
-        /// Whether the answer is the recorded one of an earlier copy of a keyed request.
+        /// Whether the answer was recorded by an earlier attempt of the same keyed request.
         repeated: bool,
     },
-    /// It had no effect, and never will have; an error must be given to the client.
+    /// The unit had no effect and never will; an error must be returned to the client.
     NotRun {
-        /// Why.
+        /// The reason, which the error reports to the client.
         reason: Reason,
-        /// When the client should come back, in milliseconds.
+        /// The delay after which the client should retry, in milliseconds.
         retry_after_ms: u32,
     },
-    /// It ran, but its answer cannot be given; an error must be given to the client.
+    /// The unit ran, but its answer is not available; an error must be returned to the client.
     Done {
-        /// Why.
+        /// The reason, which the error reports to the client.
         reason: Reason,
     },
-    /// Whether it ran cannot be told; an error must be given to the client.
+    /// It is unknown whether the unit ran; an error must be returned to the client.
     Unknown {
-        /// Why.
+        /// The reason, which the error reports to the client.
         reason: Reason,
     },
 }
 
-/// What the home node sends within an open unit.
+/// A message from the home node within an open unit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum UnitOutput {
     /// Encoded back-end messages for the client, never a ReadyForQuery.
     Answer(Vec<u8>),
-    /// The batch has been answered whole; the ingress node makes the ReadyForQuery of it.
+    /// The batch has been answered completely; the ingress node builds the ReadyForQuery from
+    /// this status.
     BatchEnd(TransactionStatus),
     /// The unit has ended; nothing follows.
     Finished(UnitResult),
--- a/crates/spurpier-protocol/src/unit_encoding.rs
+++ b/crates/spurpier-protocol/src/unit_encoding.rs
@@ -1,7 +1,7 @@
-//! The binary form of the unit types that hold texts and lists.
+//! The binary encoding of the unit types that contain strings and lists.
 //!
-//! nanoserde's own lists trust the lengths that they read and would reserve that much memory; the
-//! forms here check each length against the bytes that are left.
+//! nanoserde's own list decoding allocates memory for whatever length it reads. The decoders here
+//! check each length against the remaining bytes first.
 
 use nanoserde::{DeBin, DeBinErr, SerBin};
 use spurpier_core::wire::{decode_bytes, decode_long_text, encode_bytes, encode_long_text};
@@ -11,7 +11,7 @@
     UnitRequest, UnitResult,
 };
 
-/// Appends a list with a length of four bytes.
+/// Appends the number of items as a `u32`, followed by the encoded items.
 fn encode_list<T: SerBin>(items: &[T], output: &mut Vec<u8>) {
     let length = u32::try_from(items.len()).unwrap_or(u32::MAX);
     length.ser_bin(output);
@@ -20,11 +20,11 @@
     }
 }
 
-/// Reads a list that [`encode_list`] wrote; reserves nothing on the word of its length.
+/// Decodes a list that [`encode_list`] wrote, without preallocating for the length that it reads.
 fn decode_list<T: DeBin>(offset: &mut usize, bytes: &[u8]) -> Result<Vec<T>, DeBinErr> {
     let length = u32::de_bin(offset, bytes)? as usize;
     let left = bytes.len().saturating_sub(*offset);
-    // Each item takes a byte at least.
+    // Each item takes at least one byte.
     if length > left {
         return Err(DeBinErr::new(*offset, length, left));
     }
--- a/crates/spurpier-protocol/tests/frame.rs
+++ b/crates/spurpier-protocol/tests/frame.rs
@@ -1,4 +1,5 @@
-//! Frames survive the way, and garbage is refused without harm.
+//! Frames are unchanged by encoding and decoding, and invalid input is rejected without a panic
+//! or an allocation of the claimed length.
 
 use assert_matches::assert_matches;
 use bytes::{BufMut, BytesMut};
@@ -109,7 +110,7 @@
     bytes
 }
 
-/// A frame with a right checksum around any body.
+/// Frames an arbitrary body with a valid checksum.
 fn framed(body: &[u8]) -> BytesMut {
     let mut bytes = BytesMut::new();
     bytes.put_u32(u32::try_from(body.len() + 8).expect("short"));
@@ -182,11 +183,11 @@
         let at = at.index(bytes.len());
         bytes[at] ^= flip;
         let decoded = FrameCodec.decode(&mut bytes);
-        // A greater length only waits for bytes that do not come.
+        // A corrupted length that is too large leaves the decoder waiting for more bytes.
         prop_assert!(!matches!(decoded, Ok(Some(_))));
     }
 
-    /// Whatever a peer says of lengths inside the body, decoding neither panics nor reserves it.
+    /// Forged lengths inside the body cause neither a panic nor an allocation of that length.
     #[test]
     fn forged_bodies_are_rejected_or_decoded(
         frame in 0..16_usize,
@@ -206,7 +207,7 @@
 
     #[test]
     fn random_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
-        // Either outcome is right; a panic or an endless loop is not.
+        // Both outcomes are valid; the test guards against a panic or an endless loop.
         let _ = decode_all(&mut BytesMut::from(&bytes[..]));
         let _ = FrameCodec.decode(&mut framed(&bytes));
     }
--- a/crates/spurpier-protocol/tests/gossip.rs
+++ b/crates/spurpier-protocol/tests/gossip.rs
@@ -1,4 +1,4 @@
-//! Control messages survive their encoding, and garbage is refused.
+//! Control messages are unchanged by encoding and decoding, and invalid input is rejected.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
