--- a/crates/spurpier-pipeline/src/configuration/mod.rs
+++ b/crates/spurpier-pipeline/src/configuration/mod.rs
@@ -177,7 +177,7 @@
         self.0.places.evacuations.take(
             &rows::evacuated_zones(&evacuated),
             known.version(Table::Configuration),
-            known.told_before(Table::Configuration),
+            known.previously_reported_at(Table::Configuration),
         );
         self.schedule_hold_expiry();
         if rows.is_empty() {
@@ -265,7 +265,7 @@
         if !findings.is_empty() {
             self.0
                 .metrics
-                .note_refused_configuration(configuration.version);
+                .record_refused_configuration(configuration.version);
             log_refused(configuration.version, &findings);
             return known;
         }
@@ -342,7 +342,7 @@
     });
     if changed {
         log_event!(events::CONFIGURATION_IN_FORCE, version = version);
-        context.metrics.note_unknown_regions(unknown.len());
+        context.metrics.record_unknown_regions(unknown.len());
         log_unknown_regions(version, &unknown);
     }
 }
--- a/crates/spurpier-pipeline/src/context.rs
+++ b/crates/spurpier-pipeline/src/context.rs
@@ -124,7 +124,7 @@
     pub known_tables: KnownTables,
     /// Limits concurrent large table transfers to other nodes. One semaphore per table, by table
     /// number, so that a transfer of one table does not delay those of another.
-    pub news_turns: [Arc<Semaphore>; FOLLOWED.len()],
+    pub large_transfer_slots: [Arc<Semaphore>; FOLLOWED.len()],
     /// Metrics served by the metrics endpoint.
     pub metrics: Metrics,
     /// Limits log lines about individual requests.
@@ -176,7 +176,7 @@
         let mut groups = self.served_groups(served);
         let now = self.clock.now();
         let mut visited = locked(&self.visited);
-        visited.retain(|_, group| group.stands_in(now) || group.is_attended());
+        visited.retain(|_, group| group.is_substitute_home(now) || group.is_monitored());
         let others = visited.values();
         let others = others.filter(|group| !self.homes_of(&group.name).is_own);
         groups.extend(others.map(Arc::clone));
@@ -223,11 +223,11 @@
     /// Reports from before the start of this incarnation do not count: the previous one may have
     /// released its lease for a succession that this one does not know. A promotion decision
     /// waits only for nodes whose entry names the group.
-    pub fn holds_lease(&self, group: &Group) -> bool {
-        let told_at = self.known_tables.told_at(Table::Cluster);
-        let told_at = told_at.filter(|told_at| *told_at > self.clock.started_at());
+    pub fn holds_leader_lease(&self, group: &Group) -> bool {
+        let reported_at = self.known_tables.reported_at(Table::Cluster);
+        let reported_at = reported_at.filter(|reported_at| *reported_at > self.clock.started_at());
         let version = self.known_tables.version(Table::Cluster);
-        holds_leader_lease(told_at, self.clock.now())
+        holds_leader_lease(reported_at, self.clock.now())
             && self.homes.may_hold_lease(&group.name, version)
     }
 
@@ -243,8 +243,8 @@
 
     /// Whether a server may be used as its group's leader and its answers trusted: no other server
     /// can have become the leader before now.
-    pub fn may_lead(&self, group: &Group, server: &Server) -> bool {
-        group.is_successor(&server.incarnation) && self.holds_lease(group)
+    pub fn may_use_as_leader(&self, group: &Group, server: &Server) -> bool {
+        group.is_successor(&server.incarnation) && self.holds_leader_lease(group)
     }
 
     /// Records that a server takes over a group; returns whether that was unknown.
--- a/crates/spurpier-pipeline/src/directory/mod.rs
+++ b/crates/spurpier-pipeline/src/directory/mod.rs
@@ -200,7 +200,7 @@
         }
         state.set_aside.remove(entry.incarnation.name());
         let group = self.context.group(&entry.group);
-        group.remove_other_lives(&entry.incarnation);
+        group.remove_other_incarnations(&entry.incarnation);
         match group.server(&entry.incarnation) {
             Some(server) => self.update(&group, &server, entry, version),
             None => self.add(&group, entry, version, log),
@@ -289,7 +289,7 @@
         if begins_to_leave {
             log_leaving(group, server, "draining");
         }
-        group.note_entry(&server.incarnation, role);
+        group.record_entry_change(&server.incarnation, role);
     }
 
     /// Marks a server that is no longer listed; it counts as gone from `gone_at`, which may be in
@@ -313,7 +313,7 @@
         }
         log_leaving(&group, &server, "gone");
         let leads = group
-            .lead()
+            .leader()
             .is_some_and(|lead| lead.incarnation == server.incarnation);
         if !leads {
             server.pool.close_idle();
@@ -419,7 +419,7 @@
         let entries = &self.0.context.entries;
         let reported = rows.into_iter();
         reported
-            .map(|row| server_rows::told_form(entries.as_ref(), row))
+            .map(|row| server_rows::to_peer_row(entries.as_ref(), row))
             .collect()
     }
 
--- a/crates/spurpier-pipeline/src/follow/mod.rs
+++ b/crates/spurpier-pipeline/src/follow/mod.rs
@@ -24,7 +24,7 @@
 use crate::context::{Context, STORE_SOURCE};
 use crate::events;
 use crate::homes::PeerNode;
-use crate::known_tables::{Compared, News};
+use crate::known_tables::{Compared, TableUpdates};
 use crate::membership::is_node_row;
 use crate::ports::{ReadRows, Row, StoreError, Table};
 use crate::progress::{Progress, while_moving};
@@ -236,7 +236,7 @@
     /// back permanently.
     fn apply_updates(
         &mut self,
-        updates: News,
+        updates: TableUpdates,
         reported_at: Timestamp,
         source: &str,
     ) -> UpdateOutcome {
--- a/crates/spurpier-pipeline/src/follow/peer.rs
+++ b/crates/spurpier-pipeline/src/follow/peer.rs
@@ -14,7 +14,7 @@
 use crate::events;
 use crate::forward::{Call, CallOutcome, Link, NodeEndpoint, Reply, WatcherAssignment, millis};
 use crate::homes::PeerNode;
-use crate::known_tables::{News, table_number};
+use crate::known_tables::{TableUpdates, table_number};
 
 /// Maximum duration of one wait for updates of another node.
 const UPDATES_WAIT: Duration = Duration::from_millis(1_200);
@@ -88,7 +88,7 @@
         received_bytes: u64,
     ) {
         let context = &self.context;
-        context.metrics.count_missed_news(failure.label());
+        context.metrics.count_missed_updates(failure.label());
         let now = context.clock.now();
         if let Some(suppressed) = context.log_budget.take(events::NEWS_MISSED, now) {
             log_event!(
@@ -147,7 +147,7 @@
         let answered = self.call(link, wait, limit).await;
         *received_bytes += link.partial_bytes() - received_before;
         let updates = answered?;
-        let reported_at = updates.told_at(asked_at);
+        let reported_at = updates.reported_at(asked_at);
         let age = self.context.clock.now().since(reported_at);
         match self.apply_updates(updates, reported_at, source) {
             UpdateOutcome::Applied => {}
@@ -165,7 +165,7 @@
         link: &Link,
         wait: Duration,
         limit: Duration,
-    ) -> Result<News, PeerFailure> {
+    ) -> Result<TableUpdates, PeerFailure> {
         let call = Call::Follow {
             table: table_number(self.table).ok_or(PeerFailure::NotServed)?,
             version: self.version,
@@ -291,7 +291,7 @@
             table = format!("{:?}", self.table),
             rows = updates.rows.0.len()
         );
-        let reported_at = updates.told_at(asked_at);
+        let reported_at = updates.reported_at(asked_at);
         self.apply_updates(updates, reported_at, &seed.to_string()) == UpdateOutcome::Applied
     }
 }
--- a/crates/spurpier-pipeline/src/forward/messages.rs
+++ b/crates/spurpier-pipeline/src/forward/messages.rs
@@ -18,7 +18,7 @@
     encode_text,
 };
 
-use crate::known_tables::News;
+use crate::known_tables::TableUpdates;
 use crate::ports::{
     Answer, Completion, Effect, ErrorClass, FreshnessKind, KeyDigest, ServerError, TransactionState,
 };
@@ -230,7 +230,7 @@
     /// The answer to a statement.
     Answered(WireAnswer),
     /// What the runner knows of a table, with the rows that the caller lacks.
-    TableUpdates(News),
+    TableUpdates(TableUpdates),
     /// The answer to a request for permits.
     Permits(LeaveAnswer),
     /// The nodes to follow.
--- a/crates/spurpier-pipeline/src/forward/server.rs
+++ b/crates/spurpier-pipeline/src/forward/server.rs
@@ -21,7 +21,7 @@
 use super::transaction::RoutedTransaction;
 use crate::configuration::allowed_regions;
 use crate::context::Context;
-use crate::known_tables::News;
+use crate::known_tables::TableUpdates;
 use crate::ports::{Answer, Effect, ErrorClass, Route, TransactionState};
 use crate::quota::answer_question;
 use crate::tenant::Caller;
@@ -261,7 +261,7 @@
         let known = &self.context.known_tables;
         let mut changes = known.changes();
         let updates = async {
-            while !known.has_news(table, version) {
+            while !known.has_updates(table, version) {
                 if changes.changed().await.is_err() {
                     return;
                 }
@@ -272,10 +272,10 @@
             // The followers of a draining node must switch to another one.
             () = self.context.draining.cancelled() => return Reply::NotStarted,
         }
-        let updates = || known.news(table, version, called_at, self.context.clock.now());
+        let updates = || known.updates(table, version, called_at, self.context.clock.now());
         let mut reply = updates();
-        if reply.as_ref().is_some_and(News::is_large) {
-            let Some(transfers) = self.context.news_turns.get(usize::from(table)) else {
+        if reply.as_ref().is_some_and(TableUpdates::is_large) {
+            let Some(transfers) = self.context.large_transfer_slots.get(usize::from(table)) else {
                 return Reply::NotStarted;
             };
             let Ok(transfer) = Arc::clone(transfers).acquire_owned().await else {
@@ -397,7 +397,7 @@
     /// The unit of a call; none if this node is closing or does not know the group.
     fn unit(&self, head: CallHead) -> Option<Unit> {
         let context = &self.context;
-        context.metrics.count_call_taken();
+        context.metrics.count_call_received();
         if context.closing.is_cancelled() {
             return None;
         }
--- a/crates/spurpier-pipeline/src/group.rs
+++ b/crates/spurpier-pipeline/src/group.rs
@@ -22,7 +22,7 @@
 /// How long a node that reaches the leader is used as a relay.
 const RELAY_DURATION: Duration = Duration::from_millis(900);
 /// How long a node that ran units in place of the homes keeps handling the group as a home does.
-const STAND_IN_DURATION: Duration = Duration::from_secs(3);
+const SUBSTITUTE_HOME_DURATION: Duration = Duration::from_secs(3);
 
 #[derive(Debug, Default)]
 struct GroupInner {
@@ -31,15 +31,15 @@
     proving: bool,
     synchronous_replicas: usize,
     /// Token of the newest succession for which this node was asked to release its leader lease.
-    asked_token: u64,
+    release_request_token: u64,
     /// Whether a promotion sent by this node is in progress.
-    ordering: bool,
+    promoting: bool,
     /// A node that reaches the leader while this one does not, and until when it is used.
     relay: Option<(PeerNode, Timestamp)>,
     /// Until when this node, which is not a home, stands in for homes that it cannot reach.
-    stands_in_until: Timestamp,
+    substitute_home_until: Timestamp,
     /// Whether this node attends to the group's primary.
-    attended: bool,
+    monitored: bool,
 }
 
 /// This node's view of one group.
@@ -105,7 +105,7 @@
     }
 
     /// Removes all other known incarnations of a server.
-    pub fn remove_other_lives(&self, present: &Incarnation) {
+    pub fn remove_other_incarnations(&self, present: &Incarnation) {
         let others = self.lock().leading.other_incarnations_of(present);
         for other in &others {
             self.remove(other);
@@ -113,7 +113,7 @@
     }
 
     /// Records that a server's entry changed: it may again be asked whether it leads.
-    pub fn note_entry(&self, incarnation: &Incarnation, role: ServerRole) {
+    pub fn record_entry_change(&self, incarnation: &Incarnation, role: ServerRole) {
         let claims_lead = role == ServerRole::Primary;
         self.lock()
             .leading
@@ -132,13 +132,13 @@
     }
 
     /// The server that last proved to be the leader, unless it has lost the role since.
-    pub fn lead(&self) -> Option<Arc<Server>> {
+    pub fn leader(&self) -> Option<Arc<Server>> {
         let inner = self.lock();
         inner.servers.get(inner.leading.leader()?).map(Arc::clone)
     }
 
     /// Whether this server was the last one that proved to this node to be the leader.
-    pub fn led_last(&self, incarnation: &Incarnation) -> bool {
+    pub fn was_last_leader(&self, incarnation: &Incarnation) -> bool {
         self.lock().leading.was_last_leader(incarnation)
     }
 
@@ -146,16 +146,16 @@
     ///
     /// [`choose_leader_candidate`] selects among those that have not recently refused. A leaving
     /// server is a candidate for at most `leaving_use`.
-    pub fn lead_candidate(&self, now: Timestamp, leaving_use: Duration) -> Option<Arc<Server>> {
+    pub fn leader_candidate(&self, now: Timestamp, leaving_use: Duration) -> Option<Arc<Server>> {
         let inner = self.lock();
-        let may_lead = |server: &&Arc<Server>| {
+        let may_be_leader = |server: &&Arc<Server>| {
             let leaving_for = server.leaving_for(now).unwrap_or_default();
             inner.leading.is_leader_candidate(&server.incarnation, now) && leaving_for < leaving_use
         };
-        let servers: Vec<&Arc<Server>> = inner.servers.values().filter(may_lead).collect();
+        let servers: Vec<&Arc<Server>> = inner.servers.values().filter(may_be_leader).collect();
         let candidates: Vec<LeaderCandidate> = servers
             .iter()
-            .map(|server| lead_candidate(server, inner.leading.leader()))
+            .map(|server| leader_candidate(server, inner.leading.leader()))
             .collect();
         choose_leader_candidate(&candidates).map(|index| Arc::clone(servers[index]))
     }
@@ -204,26 +204,26 @@
     }
 
     /// Records that a deciding node has asked this one to release its leader lease.
-    pub fn note_asked(&self, token: u64) {
+    pub fn record_release_request(&self, token: u64) {
         let mut inner = self.lock();
-        inner.asked_token = inner.asked_token.max(token);
+        inner.release_request_token = inner.release_request_token.max(token);
     }
 
     /// Token of the newest succession for which this node was asked to release its leader lease.
-    pub fn asked_token(&self) -> u64 {
-        self.lock().asked_token
+    pub fn release_request_token(&self) -> u64 {
+        self.lock().release_request_token
     }
 
     /// Whether a promotion sent by this node is in progress. Until it is answered, this node must
     /// not release its leader lease for another decision.
-    pub fn is_ordering(&self) -> bool {
-        self.lock().ordering
+    pub fn is_promoting(&self) -> bool {
+        self.lock().promoting
     }
 
     /// Marks a promotion as in progress until the returned guard is dropped.
-    pub fn start_ordering(&self) -> OrderUnderWay<'_> {
-        self.lock().ordering = true;
-        OrderUnderWay(self)
+    pub fn start_promoting(&self) -> PromotionInProgress<'_> {
+        self.lock().promoting = true;
+        PromotionInProgress(self)
     }
 
     /// Records that a server accepted a message that only the leader accepts; `now` is the time of
@@ -232,7 +232,7 @@
     /// # Errors
     ///
     /// [`ProofError`] if the answer proves nothing about the group's log.
-    pub fn note_proof(
+    pub fn record_proof(
         &self,
         server: &Server,
         proof: LeadershipProof,
@@ -263,14 +263,18 @@
     /// # Errors
     ///
     /// [`ProofError`] if it cannot be the known leader.
-    pub fn check_shown(&self, server: &Server, shown: LeadershipProof) -> Result<(), ProofError> {
+    pub fn check_position(
+        &self,
+        server: &Server,
+        shown: LeadershipProof,
+    ) -> Result<(), ProofError> {
         self.lock()
             .leading
             .check_position(&server.incarnation, shown)
     }
 
     /// Records a leadership proof reported by another node.
-    pub fn note_told_proof(&self, sent_at: Timestamp, position: Position) {
+    pub fn record_reported_proof(&self, sent_at: Timestamp, position: Position) {
         let proof = LeadershipProof { sent_at, position };
         self.lock().leading.record_reported_proof(proof);
         self.notify();
@@ -282,7 +286,7 @@
     }
 
     /// Records the position that a server has reported.
-    pub fn note_shown(&self, server: &Server, position: Position, now: Timestamp) {
+    pub fn record_position(&self, server: &Server, position: Position, now: Timestamp) {
         let lag = self.lock().leading.proofs().replication_lag(position, now);
         server.health().shown = Some(ObservedPosition {
             position,
@@ -292,7 +296,7 @@
     }
 
     /// Records that a server refused a message because it is not the leader.
-    pub fn note_denial(&self, server: &Server, now: Timestamp) {
+    pub fn record_refusal(&self, server: &Server, now: Timestamp) {
         let lost = self.lock().leading.record_refusal(&server.incarnation, now);
         if lost {
             log_event!(
@@ -321,23 +325,23 @@
     }
 
     /// Records that this node runs units in place of homes that it cannot reach.
-    pub fn stand_in(&self, now: Timestamp) {
-        self.lock().stands_in_until = now + STAND_IN_DURATION;
+    pub fn record_substitution(&self, now: Timestamp) {
+        self.lock().substitute_home_until = now + SUBSTITUTE_HOME_DURATION;
     }
 
     /// Whether this node recently ran units in place of homes that it cannot reach.
-    pub fn stands_in(&self, now: Timestamp) -> bool {
-        self.lock().stands_in_until > now
+    pub fn is_substitute_home(&self, now: Timestamp) -> bool {
+        self.lock().substitute_home_until > now
     }
 
     /// Sets whether this node attends to the group's primary.
-    pub fn set_attended(&self, attended: bool) {
-        self.lock().attended = attended;
+    pub fn set_monitored(&self, monitored: bool) {
+        self.lock().monitored = monitored;
     }
 
     /// Whether this node attends to the group's primary.
-    pub fn is_attended(&self) -> bool {
-        self.lock().attended
+    pub fn is_monitored(&self) -> bool {
+        self.lock().monitored
     }
 
     /// When the message that led to the newest proof was sent.
@@ -366,7 +370,7 @@
     }
 }
 
-fn lead_candidate(server: &Server, lead: Option<&Incarnation>) -> LeaderCandidate {
+fn leader_candidate(server: &Server, lead: Option<&Incarnation>) -> LeaderCandidate {
     let unresponsive = server.health().is_silent();
     let listing = server.listing();
     LeaderCandidate {
@@ -378,11 +382,11 @@
 }
 
 /// Guard of a promotion in progress; dropped when the promotion is answered.
-pub struct OrderUnderWay<'a>(&'a Group);
+pub struct PromotionInProgress<'a>(&'a Group);
 
-impl Drop for OrderUnderWay<'_> {
+impl Drop for PromotionInProgress<'_> {
     fn drop(&mut self) {
-        self.0.lock().ordering = false;
+        self.0.lock().promoting = false;
     }
 }
 
--- a/crates/spurpier-pipeline/src/known_tables.rs
+++ b/crates/spurpier-pipeline/src/known_tables.rs
@@ -20,15 +20,15 @@
 
 /// Removed rows of one table that are remembered. A herd of 300 nodes leaves as many, and a change
 /// of the configuration may drop the 1,400 routes that another one added.
-const REMEMBERED: usize = 4_096;
+const MAX_REMOVED_ROWS: usize = 4_096;
 
 /// Gaps of one table that are remembered; who stands in an older one is told the whole table.
-const MOST_GAPS: usize = 8;
+const MAX_GAPS: usize = 8;
 
 /// Bytes from which on news count as large: 50 nodes take 0.3 s of a link of 10 Mbit/s.
-const LARGE_NEWS: usize = 8 << 10;
+const LARGE_UPDATE_BYTES: usize = 8 << 10;
 /// About how many bytes a row takes beside its value.
-const ROW_HEAD: usize = 30;
+const ROW_OVERHEAD_BYTES: usize = 30;
 
 /// The tables that nodes follow, by the number that messages carry.
 pub const FOLLOWED: [Table; 3] = [Table::Configuration, Table::Servers, Table::Cluster];
@@ -41,7 +41,7 @@
 
 /// What a node tells of a table.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
-pub struct News {
+pub struct TableUpdates {
     /// Whether it is the whole table, so that rows which are not in it are gone.
     pub whole: bool,
     /// The store's version of it.
@@ -53,14 +53,14 @@
     /// The digest of the whole table at the node that tells.
     pub digest: u64,
     /// The rows, in the order of their last changes.
-    pub rows: List<ToldRow>,
+    pub rows: List<PeerRow>,
 }
 
-impl News {
+impl TableUpdates {
     /// Whether telling it takes a good part of a second of a narrow link for a few dozen nodes.
     pub fn is_large(&self) -> bool {
         let values = self.rows.0.iter().map(|row| row.0.value.len());
-        values.sum::<usize>() + self.rows.0.len() * ROW_HEAD >= LARGE_NEWS
+        values.sum::<usize>() + self.rows.0.len() * ROW_OVERHEAD_BYTES >= LARGE_UPDATE_BYTES
     }
 
     /// When the store last told of the table, on the clock of a node that asked at `asked_at`.
@@ -68,7 +68,7 @@
     /// The other node held the call for `held_ms` before it told the age, so that it told it no
     /// earlier than `held_ms` after the question. Counting from the arrival of the answer would add
     /// its time on the way, and two nodes that follow each other would keep each other young.
-    pub fn told_at(&self, asked_at: Timestamp) -> Timestamp {
+    pub fn reported_at(&self, asked_at: Timestamp) -> Timestamp {
         let held = Duration::from_millis(u64::from(self.held_ms));
         let age = Duration::from_millis(u64::from(self.age_ms));
         (asked_at + held).saturating_sub(age)
@@ -81,9 +81,9 @@
 
 /// A row as a message carries it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ToldRow(pub Row);
+pub struct PeerRow(pub Row);
 
-impl SerBin for ToldRow {
+impl SerBin for PeerRow {
     fn ser_bin(&self, output: &mut Vec<u8>) {
         encode_long_text(&self.0.key, output);
         encode_bytes(&self.0.value, output);
@@ -92,9 +92,9 @@
     }
 }
 
-impl DeBin for ToldRow {
+impl DeBin for PeerRow {
     fn de_bin(offset: &mut usize, bytes: &[u8]) -> Result<Self, DeBinErr> {
-        Ok(ToldRow(Row {
+        Ok(PeerRow(Row {
             key: decode_long_text(offset, bytes)?.to_owned(),
             value: Bytes::copy_from_slice(decode_bytes(offset, bytes)?),
             version: StoreVersion::de_bin(offset, bytes)?,
@@ -120,7 +120,7 @@
 }
 
 impl Gap {
-    fn holds(self, version: StoreVersion) -> bool {
+    fn contains(self, version: StoreVersion) -> bool {
         self.after < version && version < self.before
     }
 }
@@ -131,9 +131,9 @@
     /// The store's version up to which all changes are known.
     version: StoreVersion,
     /// When the store last told of it, on this node's clock; none before it did.
-    told_at: Option<Timestamp>,
+    reported_at: Option<Timestamp>,
     /// The same before the last news of it.
-    told_before: Option<Timestamp>,
+    previously_reported_at: Option<Timestamp>,
     /// The version of the newest change up to that version.
     changed_at: StoreVersion,
     /// The last removed rows, oldest first.
@@ -151,7 +151,7 @@
     /// how many of these stand in the place of others.
     fn replace_rows(&mut self, rows: &[Row], version: StoreVersion, compared: Compared) -> usize {
         let mut outdated = 0;
-        self.note_leap(version, compared);
+        self.record_skipped_versions(version, compared);
         let mut replaced: BTreeMap<String, Row> = rows
             .iter()
             .map(|row| (row.key.clone(), row.clone()))
@@ -177,7 +177,7 @@
 
     /// Whether there is news for a node that knows the table up to a version. One of a later era is
     /// to hear at once that this node is behind.
-    fn has_news(&self, version: StoreVersion) -> bool {
+    fn has_updates(&self, version: StoreVersion) -> bool {
         self.changed_at > version || self.version.era() != version.era()
     }
 
@@ -188,16 +188,16 @@
             .count()
     }
 
-    /// Takes in that the store told of the table at `told_at`, as of a version.
-    fn note_told(&mut self, version: StoreVersion, told_at: Timestamp) {
+    /// Takes in that the store told of the table at `reported_at`, as of a version.
+    fn record_report(&mut self, version: StoreVersion, reported_at: Timestamp) {
         self.version = self.version.max(version);
-        self.told_before = self.told_at;
-        self.told_at = self.told_at.max(Some(told_at));
+        self.previously_reported_at = self.reported_at;
+        self.reported_at = self.reported_at.max(Some(reported_at));
     }
 
     /// Takes in that all rows as of a version are told, whatever came and went before.
-    fn note_leap(&mut self, version: StoreVersion, compared: Compared) {
-        if self.told_at.is_none() {
+    fn record_skipped_versions(&mut self, version: StoreVersion, compared: Compared) {
+        if self.reported_at.is_none() {
             self.remembered_since = version;
             return;
         }
@@ -207,7 +207,7 @@
                 before: version,
             });
         }
-        if self.gaps.len() > MOST_GAPS
+        if self.gaps.len() > MAX_GAPS
             && let Some(oldest) = self.gaps.pop_front()
         {
             self.remembered_since = self.remembered_since.max(oldest.before);
@@ -230,13 +230,13 @@
             ..KnownTable::default()
         };
         for row in changes {
-            after.take(row);
+            after.apply_row(row);
         }
         after.digest()
     }
 
     /// Takes in a changed row; false if a newer one is known.
-    fn take(&mut self, row: &Row) -> bool {
+    fn apply_row(&mut self, row: &Row) -> bool {
         let known = self.rows.get(&row.key);
         if known.is_some_and(|known| known.version > row.version) {
             return false;
@@ -260,7 +260,7 @@
             version,
             gone: true,
         });
-        if self.removed.len() > REMEMBERED
+        if self.removed.len() > MAX_REMOVED_ROWS
             && let Some(forgotten) = self.removed.pop_front()
         {
             self.remembered_since = self.remembered_since.max(forgotten.version);
@@ -269,8 +269,8 @@
 
     /// What has changed since a version, in the order of the changes; none if it is not all
     /// remembered.
-    fn since(&self, version: StoreVersion) -> Option<Vec<ToldRow>> {
-        let is_in_gap = self.gaps.iter().any(|gap| gap.holds(version));
+    fn since(&self, version: StoreVersion) -> Option<Vec<PeerRow>> {
+        let is_in_gap = self.gaps.iter().any(|gap| gap.contains(version));
         // By the whole table a caller learns that the store came back.
         let is_former = version.era() != self.version.era();
         if is_in_gap || is_former || version < self.remembered_since {
@@ -279,7 +279,7 @@
         let rows = self.rows.values().chain(&self.removed);
         let mut changed: Vec<&Row> = rows.filter(|row| row.version > version).collect();
         changed.sort_by_key(|row| row.version);
-        Some(changed.into_iter().cloned().map(ToldRow).collect())
+        Some(changed.into_iter().cloned().map(PeerRow).collect())
     }
 }
 
@@ -308,46 +308,46 @@
         Self::default()
     }
 
-    /// Takes in a whole table, as the store told it at `told_at`; tells how many rows were passed
+    /// Takes in a whole table, as the store told it at `reported_at`; tells how many rows were passed
     /// over, since newer ones are known.
     pub fn replace(
         &self,
         table: Table,
         rows: &[Row],
         version: StoreVersion,
-        told_at: Timestamp,
+        reported_at: Timestamp,
         compared: Compared,
     ) -> usize {
         self.update(table, |known| {
             let outdated = known.replace_rows(rows, version, compared);
-            known.note_told(version, told_at);
+            known.record_report(version, reported_at);
             outdated
         })
     }
 
-    /// Takes in what has changed, if anything has, as the store told it at `told_at`; tells how many
+    /// Takes in what has changed, if anything has, as the store told it at `reported_at`; tells how many
     /// rows were passed over, since newer ones are known.
     pub fn change(
         &self,
         table: Table,
         rows: &[Row],
         version: StoreVersion,
-        told_at: Timestamp,
+        reported_at: Timestamp,
     ) -> usize {
         self.update(table, |known| {
             let mut outdated = 0;
             for row in rows {
-                outdated += usize::from(!known.take(row));
+                outdated += usize::from(!known.apply_row(row));
                 known.changed_at = known.changed_at.max(row.version);
             }
-            known.note_told(version, told_at);
+            known.record_report(version, reported_at);
             outdated
         })
     }
 
     /// Takes in a row that another node has told ahead of the table's other changes.
     pub fn insert(&self, table: Table, row: &Row) {
-        self.update(table, |known| known.take(row));
+        self.update(table, |known| known.apply_row(row));
     }
 
     /// The store's version up to which all changes of a table are known.
@@ -371,16 +371,16 @@
     }
 
     /// Up to when the store has told of a table, on this node's clock; none before it did.
-    pub fn told_at(&self, table: Table) -> Option<Timestamp> {
+    pub fn reported_at(&self, table: Table) -> Option<Timestamp> {
         let number = table_number(table)?;
-        self.lock()[usize::from(number)].told_at
+        self.lock()[usize::from(number)].reported_at
     }
 
     /// Up to when the store had told of a table before its last news, on this node's clock: what is
     /// new in these was written no earlier, but for what the store held back. None before it did.
-    pub fn told_before(&self, table: Table) -> Option<Timestamp> {
+    pub fn previously_reported_at(&self, table: Table) -> Option<Timestamp> {
         let number = table_number(table)?;
-        self.lock()[usize::from(number)].told_before
+        self.lock()[usize::from(number)].previously_reported_at
     }
 
     fn update<T: Default>(&self, table: Table, change: impl FnOnce(&mut KnownTable) -> T) -> T {
@@ -392,7 +392,7 @@
             let known = &mut tables[usize::from(number)];
             let state = |known: &KnownTable| {
                 let era = known.version.era();
-                (known.changed_at, era, known.told_at.is_some())
+                (known.changed_at, era, known.reported_at.is_some())
             };
             let before = state(known);
             let changed = change(known);
@@ -410,12 +410,12 @@
     }
 
     /// Whether a table has changed since a version, or is known to this node and not to the caller.
-    pub fn has_news(&self, number: u8, version: Option<StoreVersion>) -> bool {
+    pub fn has_updates(&self, number: u8, version: Option<StoreVersion>) -> bool {
         let tables = self.lock();
         let Some(known) = tables.get(usize::from(number)) else {
             return false;
         };
-        known.told_at.is_some() && version.is_none_or(|version| known.has_news(version))
+        known.reported_at.is_some() && version.is_none_or(|version| known.has_updates(version))
     }
 
     /// The digest that a table's rows will have after these changes.
@@ -426,21 +426,21 @@
 
     /// What is to be told now of a table to a node that knows it up to a version, in answer to a
     /// call that came at `called_at`; none if nothing is known of the table.
-    pub fn news(
+    pub fn updates(
         &self,
         number: u8,
         version: Option<StoreVersion>,
         called_at: Timestamp,
         now: Timestamp,
-    ) -> Option<News> {
+    ) -> Option<TableUpdates> {
         let mut tables = self.lock();
         let known = tables.get_mut(usize::from(number))?;
         let digest = known.digest();
-        let age = now.since(known.told_at?);
+        let age = now.since(known.reported_at?);
         let changes = version.and_then(|version| known.since(version));
         let whole = changes.is_none();
-        let all = || known.rows.values().cloned().map(ToldRow).collect();
-        Some(News {
+        let all = || known.rows.values().cloned().map(PeerRow).collect();
+        Some(TableUpdates {
             whole,
             version: known.version,
             // Rounded so that what is told is never taken for younger than it is.
--- a/crates/spurpier-pipeline/src/metrics.rs
+++ b/crates/spurpier-pipeline/src/metrics.rs
@@ -193,13 +193,13 @@
     }
 
     /// Sets the version of a configuration that was rejected because of errors.
-    pub fn note_refused_configuration(&self, version: u64) {
+    pub fn record_refused_configuration(&self, version: u64) {
         let version = i64::try_from(version).unwrap_or(i64::MAX);
         self.refused_configuration.set(version);
     }
 
     /// Sets how often the configuration in force names regions that no zone has.
-    pub fn note_unknown_regions(&self, count: usize) {
+    pub fn record_unknown_regions(&self, count: usize) {
         self.unknown_regions.set(as_gauge(count));
     }
 
@@ -235,12 +235,12 @@
     }
 
     /// Counts a call for a unit that is received from another node.
-    pub fn count_call_taken(&self) {
+    pub fn count_call_received(&self) {
         self.calls.get_or_create(&Kind { kind: "taken" }).inc();
     }
 
     /// Counts a request for permits to start operations.
-    pub fn count_leave_question(&self) {
+    pub fn count_permit_request(&self) {
         self.leave_questions.inc();
     }
 
@@ -251,7 +251,7 @@
     }
 
     /// Counts a request to another node for a table that gave no usable update.
-    pub fn count_missed_news(&self, why: &'static str) {
+    pub fn count_missed_updates(&self, why: &'static str) {
         self.missed_news.get_or_create(&Kind { kind: why }).inc();
     }
 
@@ -312,11 +312,11 @@
     fn set_table_ages(&self, context: &Context) {
         let now = context.clock.now();
         for table in FOLLOWED {
-            let told_at = context.known_tables.told_at(table);
+            let reported_at = context.known_tables.reported_at(table);
             let labels = TableLabels {
                 table: format!("{table:?}"),
             };
-            let age = millis_or_unknown(told_at.map(|told_at| now.since(told_at)));
+            let age = millis_or_unknown(reported_at.map(|reported_at| now.since(reported_at)));
             self.table_ages.get_or_create(&labels).set(age);
         }
     }
--- a/crates/spurpier-pipeline/src/node.rs
+++ b/crates/spurpier-pipeline/src/node.rs
@@ -209,7 +209,9 @@
             holds_promotion_lease: AtomicBool::new(false),
             lease_wanted: Notify::new(),
             known_tables: KnownTables::new(),
-            news_turns: std::array::from_fn(|_| Arc::new(Semaphore::new(MAX_LARGE_TRANSFERS))),
+            large_transfer_slots: std::array::from_fn(|_| {
+                Arc::new(Semaphore::new(MAX_LARGE_TRANSFERS))
+            }),
             metrics: Metrics::default(),
             log_budget: LogBudget::default(),
             forwarded: TaskTracker::new(),
--- a/crates/spurpier-pipeline/src/node_entry.rs
+++ b/crates/spurpier-pipeline/src/node_entry.rs
@@ -14,7 +14,7 @@
 use crate::settings::PipelineSettings;
 
 /// Lower bound of a node's weight; above zero so that every node can become a home.
-const LEAST_WEIGHT: f64 = 0.01;
+const MIN_WEIGHT: f64 = 0.01;
 
 /// The entry that a node publishes about itself in the store.
 #[derive(Debug, Clone, PartialEq)]
@@ -82,7 +82,7 @@
     pub fn ranked(&self, key: NodeKey) -> RankedNode {
         RankedNode {
             key,
-            weight: self.weight.max(LEAST_WEIGHT),
+            weight: self.weight.max(MIN_WEIGHT),
         }
     }
 
--- a/crates/spurpier-pipeline/src/places/closing.rs
+++ b/crates/spurpier-pipeline/src/places/closing.rs
@@ -61,7 +61,7 @@
                 server.pool.close_idle();
             }
         }
-        if group.lead().is_some_and(|lead| stands_in(&lead, zone)) {
+        if group.leader().is_some_and(|lead| stands_in(&lead, zone)) {
             log_event!(events::EVACUATED_PRIMARY, group = group.name, zone = zone);
         }
     }
--- a/crates/spurpier-pipeline/src/places/evacuations.rs
+++ b/crates/spurpier-pipeline/src/places/evacuations.rs
@@ -44,18 +44,18 @@
         }
     }
 
-    /// Takes in which zones the store tells to be evacuated as of a version; `told_before` is up to when
-    /// it had told of the rows as they were known before.
+    /// Takes in which zones the store tells to be evacuated as of a version;
+    /// `previously_reported_at` is up to when it had told of the rows as they were known before.
     pub fn take(
         &self,
         told: &BTreeSet<String>,
         version: StoreVersion,
-        told_before: Option<Timestamp>,
+        previously_reported_at: Option<Timestamp>,
     ) {
         let mut inner = self.lock();
         let is_first = inner.known.first_version().is_none();
         let zones = inner.with_held(told, version.era(), self.clock.now());
-        let changes = inner.known.apply(&zones, version, told_before);
+        let changes = inner.known.apply(&zones, version, previously_reported_at);
         if is_first || !changes.reopened.is_empty() {
             inner.note_taken_back();
         }
--- a/crates/spurpier-pipeline/src/promotion/demand.rs
+++ b/crates/spurpier-pipeline/src/promotion/demand.rs
@@ -68,7 +68,7 @@
     if deciding_homes(context, &group.name).first() != Some(&Home::Own) {
         return;
     }
-    let Some(leader) = group.lead() else {
+    let Some(leader) = group.leader() else {
         return;
     };
     let places = &context.places;
--- a/crates/spurpier-pipeline/src/promotion/evacuation.rs
+++ b/crates/spurpier-pipeline/src/promotion/evacuation.rs
@@ -44,7 +44,7 @@
     pub(super) fn candidate(&self) -> Option<Arc<Server>> {
         let context = &self.context;
         let (now, leaving_use) = (context.clock.now(), context.leaving_use());
-        self.group.lead_candidate(now, leaving_use)
+        self.group.leader_candidate(now, leaving_use)
     }
 
     /// Whether another server of the group may become the primary: it is not leaving, and its
@@ -190,7 +190,7 @@
             ZonePhase::Open => RequiredPosition::Nothing,
             ZonePhase::Evacuating => match status_of(&self.context, server).await {
                 Some(status) => {
-                    if self.group.led_last(&server.incarnation) {
+                    if self.group.was_last_leader(&server.incarnation) {
                         self.step_down = Some(KnownStepDown {
                             position: status.received,
                             unpromoted_token: None,
@@ -201,7 +201,7 @@
                 // It is treated as lost, like a primary in any other zone.
                 None => RequiredPosition::Nothing,
             },
-            ZonePhase::Closed if self.group.led_last(&server.incarnation) => {
+            ZonePhase::Closed if self.group.was_last_leader(&server.incarnation) => {
                 RequiredPosition::Unknown
             }
             // A replica holds nothing that the primary, which is lost, did not hold too.
--- a/crates/spurpier-pipeline/src/promotion/peers.rs
+++ b/crates/spurpier-pipeline/src/promotion/peers.rs
@@ -203,7 +203,7 @@
             if let Some(age) = last_proof_age {
                 // The answer was created after the request was sent, so this is not later than the
                 // proof.
-                group.note_told_proof(asked_at.saturating_sub(age), *position);
+                group.record_reported_proof(asked_at.saturating_sub(age), *position);
             }
             if relay.is_none() && observation.observes_primary() {
                 relay = Some(home.clone());
--- a/crates/spurpier-pipeline/src/promotion/round.rs
+++ b/crates/spurpier-pipeline/src/promotion/round.rs
@@ -19,7 +19,7 @@
 use super::peers::Peers;
 use crate::context::Context;
 use crate::events;
-use crate::group::{Group, OrderUnderWay};
+use crate::group::{Group, PromotionInProgress};
 use crate::homes::PeerNode;
 use crate::membership::succession_key;
 use crate::ports::{Row, Table};
@@ -95,7 +95,7 @@
     /// Waits until the successor may be promoted, which must then be requested immediately. Returns
     /// `None` if a newer decision is known, if the store may have lost this one, or if the store or
     /// the list of nodes does not become available in time.
-    pub async fn wait_until_promotable(&mut self) -> Option<OrderUnderWay<'a>> {
+    pub async fn wait_until_promotable(&mut self) -> Option<PromotionInProgress<'a>> {
         loop {
             if self.context.era() != self.decision.version.era() {
                 return None;
@@ -104,7 +104,7 @@
             match self.round.state(self.group.token(), now) {
                 RoundState::Superseded => return None,
                 RoundState::Promote if !self.holders_complete => self.complete_holders().await?,
-                RoundState::Promote => return Some(self.group.start_ordering()),
+                RoundState::Promote => return Some(self.group.start_promoting()),
                 RoundState::Verify => self.verify().await?,
                 RoundState::Wait => {
                     self.request_releases().await;
@@ -229,7 +229,7 @@
     succession: &Succession,
     version: StoreVersion,
 ) -> bool {
-    if group.is_ordering() {
+    if group.is_promoting() {
         return false;
     }
     context.record_succession(group, succession);
@@ -241,7 +241,7 @@
         gone: false,
     };
     context.known_tables.insert(Table::Cluster, &row);
-    group.note_asked(succession.token);
+    group.record_release_request(succession.token);
     true
 }
 
@@ -253,9 +253,9 @@
         if !context.homes.is_awaited(&group.name, context.clock.now()) {
             return;
         }
-        let is_release_known = group.asked_token() >= token || group.token() > token;
+        let is_release_known = group.release_request_token() >= token || group.token() > token;
         if is_release_known
-            || (!group.is_ordering() && store_release(&context, &group, token).await)
+            || (!group.is_promoting() && store_release(&context, &group, token).await)
         {
             return;
         }
--- a/crates/spurpier-pipeline/src/promotion/watch.rs
+++ b/crates/spurpier-pipeline/src/promotion/watch.rs
@@ -63,10 +63,10 @@
 
 /// Whether a group that this node monitors may need a new primary; false if a task runs for it.
 fn is_in_doubt(context: &Context, group: &Group) -> bool {
-    if group.is_attended() {
+    if group.is_monitored() {
         return false;
     }
-    let Some(leader) = group.lead() else {
+    let Some(leader) = group.leader() else {
         return !group.servers().is_empty() && *context.directory_known.borrow();
     };
     let now = context.clock.now();
@@ -86,7 +86,7 @@
         if !open.insert(group.name.clone()) {
             return;
         }
-        group.set_attended(true);
+        group.set_monitored(true);
         context.record_visited(&group);
         context.lease_wanted.notify_one();
         let task = PromotionTask {
@@ -104,7 +104,7 @@
             task.run().await;
             let mut open = tasks.0.lock().unwrap_or_else(PoisonError::into_inner);
             open.remove(&group.name);
-            group.set_attended(false);
+            group.set_monitored(false);
         });
     }
 }
@@ -154,14 +154,14 @@
         let clock = &self.context.clock;
         let started_at = clock.now();
         self.assessed_at = started_at;
-        if !self.context.holds_lease(&self.group) {
+        if !self.context.holds_leader_lease(&self.group) {
             // Without the lease the leader cannot be used, which is no evidence that it is lost.
             self.missing_since = None;
             return RequiredAction::Wait;
         }
         let until = started_at + PROOF_TIMEOUT;
         let proven = renew_proof(&self.context, &self.group, started_at, until).await;
-        let leader = self.group.lead();
+        let leader = self.group.leader();
         if proven.is_ok() {
             self.missing_since = None;
             self.step_down = None;
@@ -244,7 +244,7 @@
 
     /// The server that is known to lead, or else the one that claims to in the directory.
     fn claimant(&self) -> Option<Arc<Server>> {
-        self.group.lead().or_else(|| {
+        self.group.leader().or_else(|| {
             let servers = self.group.servers().into_iter();
             let claiming = servers.filter(|server| server.claims_leadership() && !server.is_gone());
             claiming.max_by_key(|server| server.listing().version)
@@ -345,7 +345,7 @@
         successor: &Successor,
         deposed: Option<&Server>,
     ) -> Option<Decision> {
-        if !self.context.holds_lease(&self.group) {
+        if !self.context.holds_leader_lease(&self.group) {
             return None;
         }
         let decision =
@@ -384,7 +384,7 @@
                 let since = self.context.clock.now();
                 let until = since + PROOF_TIMEOUT;
                 let proven = renew_proof(&self.context, &self.group, since, until).await;
-                let leader = self.group.lead().map(|leader| leader.incarnation.clone());
+                let leader = self.group.leader().map(|leader| leader.incarnation.clone());
                 if proven.is_ok() && leader != former {
                     return;
                 }
--- a/crates/spurpier-pipeline/src/quota/asker.rs
+++ b/crates/spurpier-pipeline/src/quota/asker.rs
@@ -124,7 +124,7 @@
         let sent_after = self.choice().authority_time(context.clock.now());
         let wants = wants.iter().map(|(tenant, want)| (&**tenant, *want));
         let question = LeaveQuestion::new(self.scope, own, sent_after, wants);
-        context.metrics.count_leave_question();
+        context.metrics.count_permit_request();
         if authority.name == *own {
             return match super::answer_question(context, question) {
                 Some(answer) => Asked::Answered(answer),
--- a/crates/spurpier-pipeline/src/server_rows.rs
+++ b/crates/spurpier-pipeline/src/server_rows.rs
@@ -16,7 +16,7 @@
 const UNUSABLE: u8 = 4;
 
 /// Converts a row of the platform to the compact encoding; a removed row is returned unchanged.
-pub fn told_form(entries: &dyn EntryFormat, row: Row) -> Row {
+pub fn to_peer_row(entries: &dyn EntryFormat, row: Row) -> Row {
     if row.gone {
         return row;
     }
--- a/crates/spurpier-pipeline/src/unit/attempt.rs
+++ b/crates/spurpier-pipeline/src/unit/attempt.rs
@@ -136,7 +136,7 @@
                 server.record_answer(answered.sent_at);
                 let now = clock.now();
                 if let Some(position) = answered.answer.position {
-                    self.group.note_shown(&server, position, now);
+                    self.group.record_position(&server, position, now);
                 }
                 if answered.answer.outcome.is_ok() {
                     // Refusals are fast and would distort the server's response times.
--- a/crates/spurpier-pipeline/src/unit/eligibility.rs
+++ b/crates/spurpier-pipeline/src/unit/eligibility.rs
@@ -59,7 +59,7 @@
     fn bar_at_leader(&self) -> Option<Bar> {
         let context = &self.context;
         let now = context.clock.now();
-        let leader = self.group.lead_candidate(now, context.leaving_use())?;
+        let leader = self.group.leader_candidate(now, context.leaving_use())?;
         context
             .places
             .bar_to_lead(&self.allowed_regions, &leader, now)
--- a/crates/spurpier-pipeline/src/unit/leader.rs
+++ b/crates/spurpier-pipeline/src/unit/leader.rs
@@ -52,8 +52,8 @@
     loop {
         changes.borrow_and_update();
         let candidate = group
-            .lead_candidate(clock.now(), context.leaving_use())
-            .filter(|_| context.holds_lease(group));
+            .leader_candidate(clock.now(), context.leaving_use())
+            .filter(|_| context.holds_leader_lease(group));
         let mut missing = NotRun::NoLeader;
         if let Some(server) = candidate.filter(|server| is_responsive(server, clock.now())) {
             if let Some(bar) = context.places.bar_to_lead(allowed, &server, clock.now()) {
@@ -77,7 +77,7 @@
                 Err(AcquireError::Open(OpenError::Cold(no_leave))) => return Err(no_leave.into()),
                 Err(AcquireError::Open(_)) => {
                     server.record_unanswered(clock);
-                    group.note_denial(&server, clock.now());
+                    group.record_refusal(&server, clock.now());
                 }
             }
         }
@@ -102,7 +102,7 @@
         return true;
     };
     let shown = connection.opening_proof;
-    let Err(why) = group.check_shown(&server, shown) else {
+    let Err(why) = group.check_position(&server, shown) else {
         return true;
     };
     reject_leader(context, group, &server, why, shown.position);
@@ -137,8 +137,8 @@
             internal_attempt(clock, leased, ServerRequest::Begin, deadline).await;
         let reason = match (leased, result) {
             (Some(leased), Ok(answered)) if answered.answer.outcome.is_ok() => {
-                let may_lead = context.may_lead(group, &server);
-                if may_lead && answered.answer.state == TransactionState::Open {
+                let may_use_as_leader = context.may_use_as_leader(group, &server);
+                if may_use_as_leader && answered.answer.state == TransactionState::Open {
                     let position = answered.answer.position;
                     let proved = record_proof(context, group, &server, answered.sent_at, position);
                     if proved {
@@ -150,7 +150,7 @@
             }
             (_, Ok(answered)) => match answered.answer.error_class() {
                 Some(ErrorClass::ReadOnly) => {
-                    group.note_denial(&server, clock.now());
+                    group.record_refusal(&server, clock.now());
                     NotRun::NoLeader
                 }
                 _ => {
@@ -180,7 +180,7 @@
 ) -> bool {
     let position = position.unwrap_or(Position::ZERO);
     let proof = LeadershipProof { sent_at, position };
-    let Err(why) = group.note_proof(server, proof, context.clock.now()) else {
+    let Err(why) = group.record_proof(server, proof, context.clock.now()) else {
         return true;
     };
     reject_leader(context, group, server, why, position);
@@ -196,7 +196,7 @@
     position: Position,
 ) {
     let now = context.clock.now();
-    group.note_denial(server, now);
+    group.record_refusal(server, now);
     if why == ProofError::LogLost
         && let Some(suppressed) = context.log_budget.take(events::LEAD_LOST_LOG, now)
     {
--- a/crates/spurpier-pipeline/src/unit/mod.rs
+++ b/crates/spurpier-pipeline/src/unit/mod.rs
@@ -174,7 +174,7 @@
         let context = &self.context;
         let leader = self
             .group
-            .lead_candidate(context.clock.now(), context.leaving_use())?;
+            .leader_candidate(context.clock.now(), context.leaving_use())?;
         let zone = leader.listing().entry.zone.clone();
         Some(zone)
     }
@@ -194,7 +194,7 @@
         let homes = self.context.homes_of(&self.group.name);
         let is_usable =
             |home: &&PeerNode| self.context.links.is_usable(home.address) && self.may_run_on(home);
-        if !self.context.holds_lease(&self.group) {
+        if !self.context.holds_leader_lease(&self.group) {
             // Neither the leader nor a proof of leadership is available on this node.
             return homes.others.iter().find(is_usable).cloned();
         }
@@ -215,7 +215,7 @@
 
     /// Records that this node runs the unit in place of homes that it cannot reach.
     pub fn stand_in(&self) {
-        self.group.stand_in(self.context.clock.now());
+        self.group.record_substitution(self.context.clock.now());
         self.context.record_visited(&self.group);
         self.context.lease_wanted.notify_one();
     }
@@ -227,7 +227,7 @@
             return None;
         }
         let server = if self.needs_leader(effect) {
-            self.group.lead()
+            self.group.leader()
         } else {
             self.likely_reader(&servers)
         };
--- a/crates/spurpier-pipeline/src/unit/read.rs
+++ b/crates/spurpier-pipeline/src/unit/read.rs
@@ -156,7 +156,7 @@
     }
 
     fn is_leader(&self, server: &Server) -> bool {
-        let leader = self.group.lead();
+        let leader = self.group.leader();
         leader.is_some_and(|leader| leader.incarnation == server.incarnation)
     }
 
@@ -188,7 +188,7 @@
         excluded: &[usize],
         floor: Position,
     ) -> Option<usize> {
-        let leader = self.group.lead().map(|leader| leader.incarnation.clone());
+        let leader = self.group.leader().map(|leader| leader.incarnation.clone());
         let is_leader = |server: &Server| leader.as_ref() == Some(&server.incarnation);
         let now = self.context.clock.now();
         let choose = |is_usable: &dyn Fn(&Server) -> bool| {
--- a/crates/spurpier-pipeline/src/unit/transaction.rs
+++ b/crates/spurpier-pipeline/src/unit/transaction.rs
@@ -90,7 +90,7 @@
                 self.record_answer(leased, &answer, writes);
                 if answer.error_class() == Some(ErrorClass::ReadOnly) && !self.read_only {
                     let now = self.unit.context.clock.now();
-                    self.unit.group.note_denial(&server, now);
+                    self.unit.group.record_refusal(&server, now);
                 }
                 answer
             }
@@ -140,7 +140,7 @@
             Ok(TimedAnswer { answer, .. })
                 if answer.outcome.is_ok()
                     && self.wrote
-                    && !unit.context.may_lead(&unit.group, &server) =>
+                    && !unit.context.may_use_as_leader(&unit.group, &server) =>
             {
                 let unknown_outcome =
                     unit.unknown_outcome(&statement.id, ErrorClass::InDoubt, &server.incarnation);
@@ -160,7 +160,7 @@
                     committed = answer.position;
                 }
                 if answer.error_class() == Some(ErrorClass::ReadOnly) {
-                    unit.group.note_denial(&server, unit.context.clock.now());
+                    unit.group.record_refusal(&server, unit.context.clock.now());
                 }
                 UnitResult { answer, committed }
             }
--- a/crates/spurpier-pipeline/src/unit/write.rs
+++ b/crates/spurpier-pipeline/src/unit/write.rs
@@ -30,7 +30,7 @@
                 .await;
             let class = match result {
                 Ok(TimedAnswer { answer, sent_at }) => match answer.error_class() {
-                    None if !self.context.may_lead(&self.group, &server) => {
+                    None if !self.context.may_use_as_leader(&self.group, &server) => {
                         let unknown_outcome = self.unknown_outcome(
                             &statement.id,
                             ErrorClass::InDoubt,
@@ -81,7 +81,7 @@
         let now = self.context.clock.now();
         match class {
             ErrorClass::ReadOnly => {
-                self.group.note_denial(server, now);
+                self.group.record_refusal(server, now);
                 NotRun::NoLeader
             }
             ErrorClass::Busy | ErrorClass::TooManyConnections => {
--- a/crates/spurpier-pipeline/tests/fleet_spread.rs
+++ b/crates/spurpier-pipeline/tests/fleet_spread.rs
@@ -183,7 +183,7 @@
         version: StoreVersion::from_bits(9),
         gone: false,
     };
-    server_rows::told_form(&Entries(read.clone()), row)
+    server_rows::to_peer_row(&Entries(read.clone()), row)
 }
 
 fn server() -> impl Strategy<Value = ServerEntry> {
--- a/crates/spurpier-pipeline/tests/table_eras.rs
+++ b/crates/spurpier-pipeline/tests/table_eras.rs
@@ -195,7 +195,7 @@
     fn ask_node(&mut self, other: &FollowingNode) {
         let number = table_number(TABLE).expect("it is followed");
         let now = Timestamp::ZERO;
-        let Some(updates) = other.known.news(number, self.position, now, now) else {
+        let Some(updates) = other.known.updates(number, self.position, now, now) else {
             return;
         };
         if updates.version < self.known.version(TABLE) {
@@ -352,7 +352,10 @@
     let number = table_number(TABLE).expect("it is followed");
     let updates = |watcher: &FollowingNode| {
         let now = Timestamp::ZERO;
-        watcher.known.news(number, former, now, now).expect("known")
+        watcher
+            .known
+            .updates(number, former, now, now)
+            .expect("known")
     };
     assert!(!updates(&watcher).whole);
     store.backup = store.content.clone();
