--- a/crates/spurpier-pipeline/src/context.rs
+++ b/crates/spurpier-pipeline/src/context.rs
@@ -87,7 +87,7 @@
     pub configuration: watch::Sender<Option<Arc<IndexedConfiguration>>>,
     /// All groups by name.
     pub groups: Mutex<BTreeMap<String, Arc<Group>>>,
-    /// The groups whose homes this node stands in for, or whose primary it attends to, and some for
+    /// The groups whose homes this node substitutes for, or whose primary it monitors, and some for
     /// which it has just stopped doing so.
     pub visited: Mutex<BTreeMap<String, Arc<Group>>>,
     /// Cached lookup of the groups that this node is a home of.
@@ -165,7 +165,7 @@
         groups.values().map(Arc::clone).collect()
     }
 
-    /// The groups that this node is a home of, stands in for or attends to.
+    /// The groups that this node is a home of, substitutes for the homes of, or monitors.
     ///
     /// Periodic work iterates over these only, not over all groups: with 9,600 groups on 6,100
     /// nodes, a node is a home of 19.
@@ -194,7 +194,7 @@
         known.groups.clone()
     }
 
-    /// Records that this node stands in for a group's homes, or attends to its primary.
+    /// Records that this node substitutes for a group's homes, or monitors its primary.
     pub fn record_visited(&self, group: &Arc<Group>) {
         let mut visited = locked(&self.visited);
         visited.insert(group.name.clone(), Arc::clone(group));
@@ -231,8 +231,8 @@
             && self.homes.may_hold_lease(&group.name, version)
     }
 
-    /// The groups whose leader lease this node needs: those that it is a home of, stands in for or
-    /// attends to, and all groups while it holds the promotion lease.
+    /// The groups whose leader lease this node needs: those that it is a home of, substitutes for
+    /// the homes of or monitors, and all groups while it holds the promotion lease.
     pub fn wanted_leases(&self) -> LeaseScope {
         let groups = self.groups_in_use();
         LeaseScope {
--- a/crates/spurpier-pipeline/src/group.rs
+++ b/crates/spurpier-pipeline/src/group.rs
@@ -36,9 +36,9 @@
     promoting: bool,
     /// A node that reaches the leader while this one does not, and until when it is used.
     relay: Option<(PeerNode, Timestamp)>,
-    /// Until when this node, which is not a home, stands in for homes that it cannot reach.
+    /// Until when this node, which is not a home, substitutes for homes that it cannot reach.
     substitute_home_until: Timestamp,
-    /// Whether this node attends to the group's primary.
+    /// Whether this node monitors the group's primary.
     monitored: bool,
 }
 
@@ -334,12 +334,12 @@
         self.lock().substitute_home_until > now
     }
 
-    /// Sets whether this node attends to the group's primary.
+    /// Sets whether this node monitors the group's primary.
     pub fn set_monitored(&self, monitored: bool) {
         self.lock().monitored = monitored;
     }
 
-    /// Whether this node attends to the group's primary.
+    /// Whether this node monitors the group's primary.
     pub fn is_monitored(&self) -> bool {
         self.lock().monitored
     }
--- a/crates/spurpier-pipeline/src/known_tables.rs
+++ b/crates/spurpier-pipeline/src/known_tables.rs
@@ -1,8 +1,8 @@
-//! The store's tables as this node last saw them, and what it tells of them to other nodes.
+//! The store's tables as last reported to this node, and the updates that it sends to other nodes.
 //!
-//! Few nodes follow the store; the others follow one of these, and a node that the store does not
-//! answer follows any other. A node that follows names the store's version up to which it knows the
-//! table, and is told what has changed since, or the whole table if that is not remembered.
+//! Only a few nodes read from the store; the others follow one of these, and a node that gets no
+//! answer from the store follows any other node. A follower sends the store version up to which it
+//! knows a table and receives the changes since, or the whole table if they are no longer kept.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -18,56 +18,56 @@
 
 use crate::ports::{Row, Table};
 
-/// Removed rows of one table that are remembered. A herd of 300 nodes leaves as many, and a change
-/// of the configuration may drop the 1,400 routes that another one added.
+/// Maximum number of removed rows kept per table. When 300 nodes leave at once, they remove as many
+/// rows, and a configuration change may drop the 1,400 routes that another one added.
 const MAX_REMOVED_ROWS: usize = 4_096;
 
-/// Gaps of one table that are remembered; who stands in an older one is told the whole table.
+/// Maximum number of gaps kept per table; a follower in an older one receives the whole table.
 const MAX_GAPS: usize = 8;
 
-/// Bytes from which on news count as large: 50 nodes take 0.3 s of a link of 10 Mbit/s.
+/// Size from which updates are large: sent to 50 nodes, they take 0.3 s of a 10 Mbit/s link.
 const LARGE_UPDATE_BYTES: usize = 8 << 10;
-/// About how many bytes a row takes beside its value.
+/// Approximate encoded size of a row without its value, in bytes.
 const ROW_OVERHEAD_BYTES: usize = 30;
 
-/// The tables that nodes follow, by the number that messages carry.
+/// The tables that nodes follow; the index is the table number used in messages.
 pub const FOLLOWED: [Table; 3] = [Table::Configuration, Table::Servers, Table::Cluster];
 
-/// The number by which messages name a table; none if nodes do not tell each other of it.
+/// The table's number in messages; `None` if nodes do not exchange it.
 pub fn table_number(table: Table) -> Option<u8> {
     let index = FOLLOWED.iter().position(|followed| *followed == table)?;
     u8::try_from(index).ok()
 }
 
-/// What a node tells of a table.
+/// Updates of a table that one node sends to another.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
 pub struct TableUpdates {
-    /// Whether it is the whole table, so that rows which are not in it are gone.
+    /// Whether this is the whole table, so that rows missing from it were removed.
     pub whole: bool,
-    /// The store's version of it.
+    /// The store's version of the table.
     pub version: StoreVersion,
-    /// How long ago the store last told of the table when this was told, in milliseconds.
+    /// Time from the store's last report on the table to these updates, in milliseconds.
     pub age_ms: u32,
-    /// How long the call was held before this was told, in milliseconds.
+    /// How long the request was held before these updates were sent, in milliseconds.
     pub held_ms: u32,
-    /// The digest of the whole table at the node that tells.
+    /// Digest of the whole table at the sender.
     pub digest: u64,
     /// The rows, in the order of their last changes.
     pub rows: List<PeerRow>,
 }
 
 impl TableUpdates {
-    /// Whether telling it takes a good part of a second of a narrow link for a few dozen nodes.
+    /// Whether sending it to a few dozen nodes takes a good part of a second on a slow link.
     pub fn is_large(&self) -> bool {
         let values = self.rows.0.iter().map(|row| row.0.value.len());
         values.sum::<usize>() + self.rows.0.len() * ROW_OVERHEAD_BYTES >= LARGE_UPDATE_BYTES
     }
 
-    /// When the store last told of the table, on the clock of a node that asked at `asked_at`.
+    /// When the store last reported on the table, on the clock of a node that asked at `asked_at`.
     ///
-    /// The other node held the call for `held_ms` before it told the age, so that it told it no
-    /// earlier than `held_ms` after the question. Counting from the arrival of the answer would add
-    /// its time on the way, and two nodes that follow each other would keep each other young.
+    /// The other node determined the age no earlier than `held_ms` after the request was sent.
+    /// Counting from the arrival of the reply would add its transit time, and two nodes that follow
+    /// each other would keep each other's tables looking recent.
     pub fn reported_at(&self, asked_at: Timestamp) -> Timestamp {
         let held = Duration::from_millis(u64::from(self.held_ms));
         let age = Duration::from_millis(u64::from(self.age_ms));
@@ -79,7 +79,7 @@
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
-/// A row as a message carries it.
+/// A row as encoded in messages between nodes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PeerRow(pub Row);
 
@@ -103,16 +103,16 @@
     }
 }
 
-/// How nodes see that they know the same table.
+/// How nodes determine that they know the same table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Compared {
-    /// By the version up to which they know it.
+    /// By the version up to which they know the table.
     ByVersion,
-    /// By the digest of its rows as well.
+    /// Also by the digest of the table's rows.
     ByDigest,
 }
 
-/// Versions between two that are known: rows that came and went there are not.
+/// A range of versions that was skipped: rows added and removed within it are unknown.
 #[derive(Debug, Clone, Copy)]
 struct Gap {
     after: StoreVersion,
@@ -130,25 +130,25 @@
     rows: BTreeMap<String, Row>,
     /// The store's version up to which all changes are known.
     version: StoreVersion,
-    /// When the store last told of it, on this node's clock; none before it did.
+    /// When the store last reported on the table, on this node's clock; `None` before it did.
     reported_at: Option<Timestamp>,
-    /// The same before the last news of it.
+    /// The value of `reported_at` before the last report.
     previously_reported_at: Option<Timestamp>,
-    /// The version of the newest change up to that version.
+    /// Version of the newest known change.
     changed_at: StoreVersion,
-    /// The last removed rows, oldest first.
+    /// The most recently removed rows, oldest first.
     removed: VecDeque<Row>,
-    /// The version from which on all removals are remembered, but for the gaps.
+    /// The version since which all removals are kept, except within the gaps.
     remembered_since: StoreVersion,
-    /// What was passed over by whole reads, oldest first.
+    /// Version ranges skipped by reads of the whole table, oldest first.
     gaps: VecDeque<Gap>,
-    /// The digest of the rows; none if they have changed since it was computed.
+    /// Digest of the rows; `None` if they have changed since it was computed.
     digest: Option<u64>,
 }
 
 impl KnownTable {
-    /// Takes in the whole table as of a version, but for newer rows that were told ahead of it; tells
-    /// how many of these stand in the place of others.
+    /// Replaces the table with its state as of a version, but keeps newer rows that were received
+    /// ahead of it. Returns the number of received rows that are outdated by kept ones.
     fn replace_rows(&mut self, rows: &[Row], version: StoreVersion, compared: Compared) -> usize {
         let mut outdated = 0;
         self.record_skipped_versions(version, compared);
@@ -161,8 +161,8 @@
             match replaced.get(&key) {
                 Some(newer) if newer.version >= row.version => {}
                 None if row.version <= version => self.remember_removal(key, version),
-                told => {
-                    outdated += usize::from(told.is_some());
+                received => {
+                    outdated += usize::from(received.is_some());
                     replaced.insert(key, row);
                 }
             }
@@ -175,27 +175,28 @@
         outdated
     }
 
-    /// Whether there is news for a node that knows the table up to a version. One of a later era is
-    /// to hear at once that this node is behind.
+    /// Whether there are updates for a node that knows the table up to a version. A node in a later
+    /// era must learn at once that this one is behind.
     fn has_updates(&self, version: StoreVersion) -> bool {
         self.changed_at > version || self.version.era() != version.era()
     }
 
-    /// How many rows have a greater number than a version of another era.
+    /// Number of rows whose version number exceeds that of a version of another era.
     fn count_numbers_above(&self, version: StoreVersion) -> usize {
         let rows = self.rows.values();
         rows.filter(|row| row.version.number() > version.number())
             .count()
     }
 
-    /// Takes in that the store told of the table at `reported_at`, as of a version.
+    /// Records that the store reported on the table at `reported_at`, as of a version.
     fn record_report(&mut self, version: StoreVersion, reported_at: Timestamp) {
         self.version = self.version.max(version);
         self.previously_reported_at = self.reported_at;
         self.reported_at = self.reported_at.max(Some(reported_at));
     }
 
-    /// Takes in that all rows as of a version are told, whatever came and went before.
+    /// Records that the whole table as of a version was received: rows added and removed between
+    /// the previous version and this one are unknown.
     fn record_skipped_versions(&mut self, version: StoreVersion, compared: Compared) {
         if self.reported_at.is_none() {
             self.remembered_since = version;
@@ -214,13 +215,13 @@
         }
     }
 
-    /// The digest of the rows.
+    /// Returns the digest of the rows, computing it if they have changed.
     fn digest(&mut self) -> u64 {
         let rows = &self.rows;
         *self.digest.get_or_insert_with(|| digest_of(rows))
     }
 
-    /// The digest that the rows will have after these changes.
+    /// The digest that the rows would have after the given changes.
     fn digest_after(&mut self, changes: &[Row]) -> u64 {
         if changes.is_empty() {
             return self.digest();
@@ -235,7 +236,7 @@
         after.digest()
     }
 
-    /// Takes in a changed row; false if a newer one is known.
+    /// Applies a changed row; returns false if a newer one is known.
     fn apply_row(&mut self, row: &Row) -> bool {
         let known = self.rows.get(&row.key);
         if known.is_some_and(|known| known.version > row.version) {
@@ -244,7 +245,8 @@
         self.digest = None;
         if row.gone {
             self.rows.remove(&row.key);
-            // Another node may know the row that came and went between two answers.
+            // Another node may know a row that was added and removed between two reports to this
+            // one.
             self.remember_removal(row.key.clone(), row.version);
         } else {
             self.rows.insert(row.key.clone(), row.clone());
@@ -267,11 +269,11 @@
         }
     }
 
-    /// What has changed since a version, in the order of the changes; none if it is not all
-    /// remembered.
+    /// The changes since a version, in the order of their versions; `None` if some are no longer
+    /// kept.
     fn since(&self, version: StoreVersion) -> Option<Vec<PeerRow>> {
         let is_in_gap = self.gaps.iter().any(|gap| gap.contains(version));
-        // By the whole table a caller learns that the store came back.
+        // A caller in another era needs the whole table to learn that the store was restored.
         let is_former = version.era() != self.version.era();
         if is_in_gap || is_former || version < self.remembered_since {
             return None;
@@ -283,7 +285,7 @@
     }
 }
 
-/// The digest of the keys and values of rows, whatever their versions.
+/// The digest of the keys and values of rows, regardless of their versions.
 fn digest_of(rows: &BTreeMap<String, Row>) -> u64 {
     let mut hasher = Xxh3::new();
     for row in rows.values() {
@@ -295,7 +297,7 @@
     hasher.digest()
 }
 
-/// The tables as this node last saw them.
+/// The store's tables as last reported to this node.
 #[derive(Debug, Default)]
 pub struct KnownTables {
     tables: Mutex<[KnownTable; FOLLOWED.len()]>,
@@ -303,13 +305,13 @@
 }
 
 impl KnownTables {
-    /// Nothing is known yet.
+    /// Creates tables of which nothing is known yet.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes in a whole table, as the store told it at `reported_at`; tells how many rows were passed
-    /// over, since newer ones are known.
+    /// Replaces a whole table with what the store reported at `reported_at`. Returns the number of
+    /// rows that were skipped because newer ones are known.
     pub fn replace(
         &self,
         table: Table,
@@ -325,8 +327,8 @@
         })
     }
 
-    /// Takes in what has changed, if anything has, as the store told it at `reported_at`; tells how many
-    /// rows were passed over, since newer ones are known.
+    /// Applies the changes, possibly none, that the store reported at `reported_at`. Returns the
+    /// number of rows that were skipped because newer ones are known.
     pub fn change(
         &self,
         table: Table,
@@ -345,7 +347,7 @@
         })
     }
 
-    /// Takes in a row that another node has told ahead of the table's other changes.
+    /// Applies a row that another node sent ahead of the table's other changes.
     pub fn insert(&self, table: Table, row: &Row) {
         self.update(table, |known| known.apply_row(row));
     }
@@ -356,13 +358,13 @@
         number.map_or(StoreVersion::NONE, |number| self.lock()[number].version)
     }
 
-    /// How many known rows of a table have a greater number than a version of another era.
+    /// Number of rows of a table whose version number exceeds that of a version of another era.
     pub fn count_numbers_above(&self, table: Table, version: StoreVersion) -> usize {
         let number = table_number(table).map(usize::from);
         number.map_or(0, |number| self.lock()[number].count_numbers_above(version))
     }
 
-    /// All rows of a table, in the order of their keys.
+    /// All rows of a table, sorted by key.
     pub fn rows(&self, table: Table) -> Vec<Row> {
         let number = table_number(table).map(usize::from);
         number.map_or_else(Vec::new, |number| {
@@ -370,14 +372,15 @@
         })
     }
 
-    /// Up to when the store has told of a table, on this node's clock; none before it did.
+    /// When the store last reported on a table, on this node's clock; `None` before it did.
     pub fn reported_at(&self, table: Table) -> Option<Timestamp> {
         let number = table_number(table)?;
         self.lock()[usize::from(number)].reported_at
     }
 
-    /// Up to when the store had told of a table before its last news, on this node's clock: what is
-    /// new in these was written no earlier, but for what the store held back. None before it did.
+    /// When the store had reported on a table before its last report, on this node's clock; `None`
+    /// before it did. Rows that are new in the last report were written no earlier, except for
+    /// those that the store held back.
     pub fn previously_reported_at(&self, table: Table) -> Option<Timestamp> {
         let number = table_number(table)?;
         self.lock()[usize::from(number)].previously_reported_at
@@ -404,12 +407,12 @@
         changed
     }
 
-    /// A receiver that is told of changes of any table.
+    /// Returns a receiver that is notified when any table changes.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// Whether a table has changed since a version, or is known to this node and not to the caller.
+    /// Whether a table has changed since a version, or is known to this node but not to the caller.
     pub fn has_updates(&self, number: u8, version: Option<StoreVersion>) -> bool {
         let tables = self.lock();
         let Some(known) = tables.get(usize::from(number)) else {
@@ -418,14 +421,14 @@
         known.reported_at.is_some() && version.is_none_or(|version| known.has_updates(version))
     }
 
-    /// The digest that a table's rows will have after these changes.
+    /// The digest that a table's rows would have after the given changes.
     pub fn digest_after(&self, table: Table, changes: &[Row]) -> u64 {
         let number = table_number(table).map(usize::from);
         number.map_or(0, |number| self.lock()[number].digest_after(changes))
     }
 
-    /// What is to be told now of a table to a node that knows it up to a version, in answer to a
-    /// call that came at `called_at`; none if nothing is known of the table.
+    /// The updates of a table for a node that knows it up to a version, in reply to a request
+    /// received at `called_at`; `None` if nothing is known of the table.
     pub fn updates(
         &self,
         number: u8,
@@ -443,7 +446,7 @@
         Some(TableUpdates {
             whole,
             version: known.version,
-            // Rounded so that what is told is never taken for younger than it is.
+            // Rounded up so that the receiver never takes the table for more recent than it is.
             age_ms: whole_millis(age).saturating_add(1),
             held_ms: whole_millis(now.since(called_at)),
             digest,
--- a/crates/spurpier-pipeline/src/metrics.rs
+++ b/crates/spurpier-pipeline/src/metrics.rs
@@ -143,37 +143,37 @@
 impl Metrics {
     fn register(&mut self) {
         let registry = &mut self.registry;
-        let text = "Statements of clients, by how they ended";
+        let text = "Client statements, by outcome";
         registry.register("statements", text, self.statements.clone());
-        let text = "How long clients' statements took, in seconds";
+        let text = "Duration of client statements, in seconds";
         registry.register("statement_seconds", text, self.answer_times.clone());
-        let text = "Statements that were refused here, by reason";
+        let text = "Statements refused by this node, by reason";
         registry.register("refusals", text, self.refusals.clone());
-        let text = "Attempts beyond the first, by what went before";
+        let text = "Retries, by the reason for the retry";
         registry.register("retries", text, self.retries.clone());
-        let text = "Calls of units, made to other nodes and taken from them";
+        let text = "Calls for units, sent to other nodes and received from them";
         registry.register("calls", text, self.calls.clone());
-        let text = "Calls to the store for what it lists, by how they ended";
+        let text = "Calls to the store that read its tables, by outcome";
         registry.register("store_calls", text, self.store_calls.clone());
         let text = "Connections to a server, by state";
         registry.register("connections", text, self.connections.clone());
-        let text = "Connections to servers, by what units did with them";
+        let text = "Connections to servers, by how units used them";
         registry.register("connection_uses", text, self.connection_uses.clone());
-        let text = "Questions to authorities for leave to start operations, votes among them";
+        let text = "Requests to quota authorities for permits to start operations, including votes";
         registry.register("leave_questions", text, self.leave_questions.clone());
         let text = "Servers of a group that are cold";
         registry.register("cold_servers", text, self.cold_servers.clone());
-        let text = "Messages to cold servers, by whether a leave was given: sent, refused";
+        let text = "Messages to cold servers, by whether a permit was granted: sent, refused";
         registry.register("cold_messages", text, self.cold_messages.clone());
-        let text = "Age of the newest proof of lead, in milliseconds; -1 without one";
+        let text = "Age of the newest leadership proof, in milliseconds; -1 without one";
         registry.register("proof_age_ms", text, self.proof_ages.clone());
-        let text = "Homes of a group, this node among them if it is one";
+        let text = "Homes of a group, including this node if it is one";
         registry.register("homes", text, self.homes.clone());
-        let text = "Zones that are evacuated, as far as is known";
+        let text = "Zones known to be evacuated";
         registry.register("evacuated_zones", text, self.evacuated_zones.clone());
         let text = "Version of the configuration in force; 0 before the first";
         registry.register("configuration_version", text, self.configuration.clone());
-        let text = "Version of the newest configuration that was refused for its faults";
+        let text = "Version of the newest configuration that was refused because of errors";
         registry.register(
             "refused_configuration_version",
             text,
@@ -182,13 +182,14 @@
         let text =
             "Regions that the configuration in force names and no zone has, once for each naming";
         registry.register("unknown_regions", text, self.unknown_regions.clone());
-        let text = "Rows of the directory that name no server to use, by reason";
+        let text = "Directory rows that describe no usable server, by reason";
         registry.register("unusable_entries", text, self.unusable_entries.clone());
-        let text = "Questions to other nodes for a table that were of no use, by reason";
+        let text = "Requests to other nodes for a table that gave no usable update, by reason";
         registry.register("missed_news", text, self.missed_news.clone());
-        let text = "Rows of tables that were passed over, since newer ones are known, by table";
+        let text = "Table rows skipped because newer ones are known, by table";
         registry.register("outdated_rows", text, self.outdated_rows.clone());
-        let text = "How long ago the store last told of a table, in milliseconds; -1 before it did";
+        let text =
+            "Time since the store last reported on a table, in milliseconds; -1 before it did";
         registry.register("table_age_ms", text, self.table_ages.clone());
     }
 
