--- a/crates/spurpier-pipeline/src/quota/authority_client.rs
+++ b/crates/spurpier-pipeline/src/quota/authority_client.rs
@@ -129,7 +129,7 @@
         let sent_after = self.selector().authority_time(context.clock.now());
         let demands = demands.iter().map(|(tenant, demand)| (&**tenant, *demand));
         let request = PermitRequest::new(self.scope, own, sent_after, demands);
-        context.metrics.count_leave_question();
+        context.metrics.count_permit_request();
         if authority.name == *own {
             return match super::answer_permit_request(context, request) {
                 Some(answer) => RequestOutcome::Answered(answer),
