--- a/crates/spurpier-pipeline/src/locality/closing.rs
+++ b/crates/spurpier-pipeline/src/locality/closing.rs
@@ -61,7 +61,10 @@
                 server.pool.close_idle();
             }
         }
-        if group.leader().is_some_and(|leader| is_in_zone(&leader, zone)) {
+        if group
+            .leader()
+            .is_some_and(|leader| is_in_zone(&leader, zone))
+        {
             log_event!(events::EVACUATED_PRIMARY, group = group.name, zone = zone);
         }
     }
