--- a/crates/spurpier-pipeline/src/follow/mod.rs
+++ b/crates/spurpier-pipeline/src/follow/mod.rs
@@ -473,7 +473,7 @@
         self.context.record_store_answer();
         self.backoff.reset();
         if std::mem::take(&mut self.is_store_lost) {
-            log_event!(events::STORE_REGAINED, table = format!("{:?}", self.table));
+            log_event!(events::STORE_RECOVERED, table = format!("{:?}", self.table));
         }
     }
 
--- a/crates/spurpier-pipeline/src/follow/peer.rs
+++ b/crates/spurpier-pipeline/src/follow/peer.rs
@@ -90,9 +90,9 @@
         let context = &self.context;
         context.metrics.count_missed_news(failure.label());
         let now = context.clock.now();
-        if let Some(suppressed) = context.log_budget.take(events::NEWS_MISSED, now) {
+        if let Some(suppressed) = context.log_budget.take(events::UPDATES_MISSED, now) {
             log_event!(
-                events::NEWS_MISSED,
+                events::UPDATES_MISSED,
                 table = format!("{:?}", self.table),
                 node = peer.name,
                 why = failure.label(),
@@ -287,7 +287,7 @@
             return false;
         };
         log_event!(
-            events::TABLE_HANDED_ON,
+            events::TABLE_COPIED_FROM_NODE,
             table = format!("{:?}", self.table),
             rows = updates.rows.0.len()
         );
--- a/crates/spurpier-pipeline/src/group.rs
+++ b/crates/spurpier-pipeline/src/group.rs
@@ -248,7 +248,7 @@
         };
         if is_new {
             log_event!(
-                events::LEAD_FOUND,
+                events::LEADER_FOUND,
                 group = self.name,
                 server = server.incarnation,
                 position = proof.position
@@ -296,7 +296,7 @@
         let lost = self.lock().leading.record_refusal(&server.incarnation, now);
         if lost {
             log_event!(
-                events::LEAD_LOST,
+                events::LEADER_LOST,
                 group = self.name,
                 server = server.incarnation
             );
--- a/crates/spurpier-pipeline/src/places/evacuations.rs
+++ b/crates/spurpier-pipeline/src/places/evacuations.rs
@@ -75,7 +75,7 @@
             );
         }
         for zone in &changes.reopened {
-            log_event!(events::ZONE_TAKEN_BACK, zone = zone, version = version);
+            log_event!(events::ZONE_RESTORED, zone = zone, version = version);
         }
         drop(inner);
         self.changed.send_modify(|count| *count += 1);
--- a/crates/spurpier-pipeline/src/promotion/evacuation.rs
+++ b/crates/spurpier-pipeline/src/promotion/evacuation.rs
@@ -157,9 +157,9 @@
             }
         };
         let now = self.context.clock.now();
-        if let Some(suppressed) = self.context.log_budget.take(events::HEIR_INCOMPLETE, now) {
+        if let Some(suppressed) = self.context.log_budget.take(events::SUCCESSOR_BEHIND, now) {
             log_event!(
-                events::HEIR_INCOMPLETE,
+                events::SUCCESSOR_BEHIND,
                 group = self.group.name,
                 server = successor.incarnation,
                 received = format!("{received:?}"),
--- a/crates/spurpier-pipeline/src/promotion/lease.rs
+++ b/crates/spurpier-pipeline/src/promotion/lease.rs
@@ -191,10 +191,10 @@
     ];
     let sent_at = context.clock.now();
     let Some(version) = commit(context, vec![condition], writes).await else {
-        log_event!(events::DUTY_REFUSED, token = next.token);
+        log_event!(events::PROMOTION_LEASE_REFUSED, token = next.token);
         return None;
     };
-    log_event!(events::DUTY_TAKEN, token = next.token);
+    log_event!(events::PROMOTION_LEASE_ACQUIRED, token = next.token);
     context.record_promotion_lease_holder(&next.holder);
     Some(Decision {
         succession,
--- a/crates/spurpier-pipeline/src/promotion/round.rs
+++ b/crates/spurpier-pipeline/src/promotion/round.rs
@@ -177,7 +177,7 @@
         }
         self.has_logged_pending = true;
         log_event!(
-            events::NODES_AWAITED,
+            events::WAITING_FOR_NODES,
             group = self.group.name,
             token = self.round.token(),
             nodes = pending.join(" ")
--- a/crates/spurpier-pipeline/src/server/mod.rs
+++ b/crates/spurpier-pipeline/src/server/mod.rs
@@ -149,7 +149,7 @@
             health.unanswered_count
         };
         if unanswered_count == 1 {
-            log_event!(events::SERVER_SILENT, server = self.incarnation);
+            log_event!(events::SERVER_UNRESPONSIVE, server = self.incarnation);
         }
     }
 }
--- a/crates/spurpier-pipeline/src/unit/leader.rs
+++ b/crates/spurpier-pipeline/src/unit/leader.rs
@@ -198,10 +198,10 @@
     let now = context.clock.now();
     group.note_denial(server, now);
     if why == ProofError::LogLost
-        && let Some(suppressed) = context.log_budget.take(events::LEAD_LOST_LOG, now)
+        && let Some(suppressed) = context.log_budget.take(events::LEADER_LOST_LOG, now)
     {
         log_event!(
-            events::LEAD_LOST_LOG,
+            events::LEADER_LOST_LOG,
             group = group.name,
             server = server.incarnation,
             position = position,
--- a/crates/spurpier/src/cli/proxy.rs
+++ b/crates/spurpier/src/cli/proxy.rs
@@ -54,7 +54,7 @@
         _ = interrupt.recv() => false,
     };
     if !drained {
-        log_event!(events::node::STOPPED_AT_ONCE);
+        log_event!(events::node::STOPPED_IMMEDIATELY);
     }
     node.kill();
     Ok(())
--- a/crates/spurpier/src/events/node.rs
+++ b/crates/spurpier/src/events/node.rs
@@ -5,7 +5,7 @@
     DRAINING = 1002, "node_draining", Info, "the node takes no new work and finishes what is in flight", "none";
     DRAINED = 1003, "node_drained", Info, "the node has finished its work in flight", "none";
     DRAIN_TIMED_OUT = 1004, "node_drain_timed_out", Warn, "work was still in flight at the end of the drain time and is cut", "raise limits.drain_ms or look for clients that hold transactions open";
-    STOPPED_AT_ONCE = 1005, "node_stopped_at_once", Warn, "a second signal stopped the node before its drain ended", "none if meant; requests in flight were cut";
+    STOPPED_IMMEDIATELY = 1005, "node_stopped_at_once", Warn, "a second signal stopped the node before its drain ended", "none if meant; requests in flight were cut";
     ADMIN_FAILED = 1006, "admin_endpoint_failed", Error, "the admin endpoint has stopped serving", "restart the node; it serves clients but cannot be watched";
     INGRESS_FAILED = 1007, "ingress_failed", Error, "the client listener has stopped serving", "restart the node";
 }
--- a/crates/spurpier/src/home/planned_stop.rs
+++ b/crates/spurpier/src/home/planned_stop.rs
@@ -42,7 +42,7 @@
 async fn ask_for_transfer(group: &GroupHome, transfer: PlannedTransfer, clock: Clock) {
     let view = group.watcher.view();
     let to = &view.servers[transfer.to].name;
-    log_event!(events::home::TRANSFER_ASKED, group = &group.id, to = to);
+    log_event!(events::home::TRANSFER_REQUESTED, group = &group.id, to = to);
     let query = format!(
         "SELECT group_transfer('{}')",
         to.as_str().replace('\'', "''")
