--- a/crates/spurpier-events/src/lib.rs
+++ b/crates/spurpier-events/src/lib.rs
@@ -1,23 +1,23 @@
-//! The form of numbered log events; each crate that logs declares its own with these macros.
+//! Numbered log events: their type, and macros with which each crate declares and logs its own.
 
 pub use log;
 
 /// One kind of log event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Event {
-    /// The number, unique and never reused.
+    /// Number of the event, unique across all crates and never reused.
     pub number: u16,
-    /// The name in lower case with underscores.
+    /// Name of the event in snake case, unique across all crates.
     pub name: &'static str,
-    /// The level at which it is logged.
+    /// Level at which the event is logged.
     pub level: log::Level,
-    /// What has happened, in one sentence.
+    /// What has happened, in one sentence; logged as the message.
     pub summary: &'static str,
-    /// What an operator should do, in one sentence.
+    /// What an operator should do, in one sentence, or `none`; not logged.
     pub action: &'static str,
 }
 
-/// Declares the events of one part, each as a constant, and `EVENTS` with all of them.
+/// Declares each event of a module as a constant, and `EVENTS` as the list of all of them.
 #[macro_export]
 macro_rules! declare_events {
     ($($constant:ident = $number:literal, $name:literal, $level:ident, $summary:literal, $action:literal;)*) => {
@@ -32,12 +32,14 @@
             };
         )*
 
-        /// All events of this part, in the order of their numbers.
+        /// All events of this module, in the order of their numbers.
         pub const EVENTS: &[$crate::Event] = &[$($constant),*];
     };
 }
 
 /// Logs an event with its fields: `log_event!(events::node::STARTED, zone = "gent-hal")`.
+///
+/// The log target is `spurpier`; the event's number and name are added as `event` and `name`.
 #[macro_export]
 macro_rules! log_event {
     ($event:expr $(, $key:ident = $value:expr)* $(,)?) => {{
--- a/crates/spurpier/src/events/mod.rs
+++ b/crates/spurpier/src/events/mod.rs
@@ -1,4 +1,4 @@
-//! The catalogue of numbered log events; `docs/EVENTS.md` prints it and a test compares the two.
+//! The catalogue of numbered log events. `docs/EVENTS.md` lists it; a test compares the two.
 
 pub mod cluster;
 pub mod home;
